--- /dev/null
+++ b/tests/golden/action_hash.rs
@@ -0,0 +1,68 @@
+//! A hash over the actions of a balancer. Only numbers enter it, never the name of a type.
+
+use lapisroute::{Action, RefusalCause};
+use std::time::Duration;
+
+/// FNV-1a over the numbers of the actions.
+pub struct ActionHash(pub u64);
+
+impl ActionHash {
+    pub fn number(&mut self, number: u64) {
+        for byte in number.to_be_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    fn duration(&mut self, duration: Option<Duration>) {
+        self.number(duration.map_or(u64::MAX, |duration| duration.as_nanos() as u64));
+    }
+
+    pub fn action(&mut self, action: &Action) {
+        match action {
+            Action::Attempt { id, upstream, timeout } => {
+                self.number(1);
+                self.number(u64::from(id.0));
+                self.number(upstream.0);
+                self.duration(*timeout);
+            }
+            Action::Cancel { id, attempt } => {
+                self.number(2);
+                self.number(u64::from(id.0));
+                self.number(u64::from(attempt.0));
+            }
+            Action::Refuse { id, retry_after, cause } => {
+                self.number(3);
+                self.number(u64::from(id.0));
+                self.duration(*retry_after);
+                self.number(match cause {
+                    RefusalCause::NoToken => 1,
+                    RefusalCause::NoUpstream => 2,
+                    RefusalCause::NoFurtherAttempt => 3,
+                });
+            }
+            Action::Fail { id } => {
+                self.number(4);
+                self.number(u64::from(id.0));
+            }
+            Action::Timer { after, timer } => {
+                self.number(5);
+                self.duration(Some(*after));
+                self.number(u64::from(timer.0));
+            }
+            Action::WatchFleet => self.number(6),
+            Action::FetchFleet => self.number(7),
+            Action::CloseIdle { upstream } => {
+                self.number(8);
+                self.number(upstream.0);
+            }
+            Action::Probe { upstream } => {
+                self.number(9);
+                self.number(upstream.0);
+            }
+            Action::Log { line } => {
+                self.number(10);
+                line.bytes().for_each(|byte| self.number(u64::from(byte)));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/golden/world.rs
@@ -0,0 +1,379 @@
+//! Everything around one balancer, generated from a seed: clients, upstreams and their faults, and the list of them.
+
+use crate::action_hash::ActionHash;
+use crate::generator::Generator;
+use crate::scenario::Scenario;
+use lapisroute::*;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::time::Duration;
+
+/// Time between two changes of the list of upstreams or of the condition of one of them.
+const MEAN_CHANGE_GAP: Duration = Duration::from_millis(120);
+/// Time after which an attempt that has no answer ends at the latest.
+const LONGEST_ATTEMPT: Duration = Duration::from_secs(3);
+
+/// What an upstream does with the requests that it gets.
+#[derive(Clone, Copy, PartialEq)]
+enum Condition {
+    Healthy,
+    Slow,
+    Hanging,
+    Erring,
+    Rejecting,
+    Resetting,
+    Unreachable,
+}
+
+enum Pending {
+    Arrival,
+    Change,
+    ListArrives,
+    Timer(TimerId),
+    AttemptEnds { id: RequestId, attempt: u8, outcome: Outcome },
+    StreamStarts { id: RequestId, attempt: u8 },
+    ClientLeaves { id: RequestId },
+    ProbeEnds { upstream: UpstreamId },
+}
+
+struct SentAttempt {
+    upstream: UpstreamId,
+    sent: Duration,
+    out: bool,
+}
+
+#[derive(Default)]
+struct SentRequest {
+    attempts: Vec<SentAttempt>,
+    answered: bool,
+}
+
+/// Everything around one balancer, generated from a seed.
+pub struct World {
+    scenario: Scenario,
+    generator: Generator,
+    balancer: Balancer,
+    pub hash: ActionHash,
+    now: Duration,
+    pending: BTreeMap<u64, Pending>,
+    due: BinaryHeap<Reverse<(Duration, u64)>>,
+    sequence: u64,
+    entries: BTreeMap<UpstreamId, (Listed, Condition)>,
+    next_upstream: u64,
+    requests: BTreeMap<RequestId, SentRequest>,
+    next_request: u32,
+    /// How often each kind of action was seen, and each outcome.
+    pub seen: BTreeMap<&'static str, usize>,
+}
+
+impl World {
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let balancer = Balancer::new(scenario.settings.clone(), seed).expect("settings permit decisions");
+        let mut world = Self {
+            generator: Generator(seed),
+            balancer,
+            hash: ActionHash(0xcbf2_9ce4_8422_2325),
+            now: Duration::from_secs(3600),
+            pending: BTreeMap::new(),
+            due: BinaryHeap::new(),
+            sequence: 0,
+            entries: BTreeMap::new(),
+            next_upstream: 1,
+            requests: BTreeMap::new(),
+            next_request: 1,
+            seen: BTreeMap::new(),
+            scenario,
+        };
+        for _ in 0..world.scenario.upstreams {
+            world.add_upstream(false);
+        }
+        let known = world.list();
+        world.tell(Event::Fleet { scope: FleetScope::Cached, listed: &known });
+        world.schedule(Duration::ZERO, Pending::Arrival);
+        world.schedule(MEAN_CHANGE_GAP, Pending::Change);
+        world
+    }
+
+    fn schedule(&mut self, after: Duration, pending: Pending) {
+        self.sequence += 1;
+        self.pending.insert(self.sequence, pending);
+        self.due.push(Reverse((self.now + after, self.sequence)));
+    }
+
+    fn list(&self) -> Vec<Listed> {
+        self.entries.values().map(|(entry, _)| entry.clone()).collect()
+    }
+
+    fn add_upstream(&mut self, starts_now: bool) -> UpstreamId {
+        let id = UpstreamId(self.next_upstream * 7919);
+        self.next_upstream += 1;
+        let zone = ZoneId(self.generator.below(3) as u8);
+        let cell = CellId(self.generator.below(5) as u16);
+        let weight = [0.5, 1.0, 1.0, 2.0, 0.0, f64::NAN][self.generator.below(6) as usize];
+        let started = starts_now.then_some(self.now);
+        let availability = Availability::Ready;
+        let entry = Listed { id, zone, kind: KindId(0), cell, availability, weight, started };
+        self.entries.insert(id, (entry, Condition::Healthy));
+        id
+    }
+
+    fn any_upstream(&mut self) -> Option<UpstreamId> {
+        let count = self.entries.len() as u64;
+        let position = (count > 0).then(|| self.generator.below(count) as usize)?;
+        self.entries.keys().nth(position).copied()
+    }
+
+    /// Tells the balancer one event, takes its actions into the hash and plans what follows from them.
+    fn tell(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        self.hash.number(actions.len() as u64);
+        for action in &actions {
+            self.hash.action(action);
+        }
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    fn note(&mut self, what: &'static str) {
+        *self.seen.entry(what).or_default() += 1;
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Attempt { id, upstream, timeout } => self.attempt(id, upstream, timeout),
+            Action::Cancel { id, attempt } => {
+                self.note("cancel");
+                let outcome = Outcome::Cancelled;
+                self.schedule(Duration::ZERO, Pending::AttemptEnds { id, attempt: attempt.0, outcome });
+            }
+            Action::Refuse { id, cause, .. } => {
+                self.note(match cause {
+                    RefusalCause::NoToken => "no token",
+                    RefusalCause::NoUpstream => "no upstream",
+                    RefusalCause::NoFurtherAttempt => "no further attempt",
+                });
+                self.requests.entry(id).or_default().answered = true;
+            }
+            Action::Fail { id } => {
+                self.note("fail");
+                self.requests.entry(id).or_default().answered = true;
+            }
+            Action::Timer { after, timer } => self.schedule(after, Pending::Timer(timer)),
+            Action::CloseIdle { .. } => self.note("close idle"),
+            Action::Probe { upstream } => {
+                self.schedule(Duration::from_millis(5), Pending::ProbeEnds { upstream });
+            }
+            Action::WatchFleet => {
+                self.note("watch");
+                self.schedule(Duration::from_millis(30), Pending::ListArrives);
+            }
+            Action::FetchFleet | Action::Log { .. } => {}
+        }
+    }
+
+    fn attempt(&mut self, id: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
+        let request = self.requests.entry(id).or_default();
+        let attempt = request.attempts.len() as u8;
+        request.attempts.push(SentAttempt { upstream, sent: self.now, out: true });
+        if attempt > 0 {
+            self.note("further attempt");
+        }
+        let ms = Duration::from_millis;
+        let condition =
+            self.entries.get(&upstream).map_or(Condition::Unreachable, |(_, condition)| *condition);
+        let (mean, outcome) = match condition {
+            Condition::Healthy if self.generator.percent(2) => (ms(5), Outcome::Reset),
+            Condition::Healthy if self.generator.percent(1) => (ms(1), Outcome::NotSent),
+            Condition::Healthy => (ms(45), Outcome::Ok),
+            Condition::Slow => (ms(350), Outcome::Ok),
+            Condition::Hanging => (LONGEST_ATTEMPT, Outcome::TimedOut),
+            Condition::Erring => (ms(10), Outcome::Error),
+            Condition::Rejecting => (ms(3), Outcome::Rejected),
+            Condition::Resetting => (ms(20), Outcome::Reset),
+            Condition::Unreachable => (ms(2), Outcome::ConnectFailed),
+        };
+        let after = if condition == Condition::Hanging { mean } else { self.generator.around(mean) };
+        let limit = timeout.unwrap_or(LONGEST_ATTEMPT);
+        let (after, outcome) = if after < limit { (after, outcome) } else { (limit, Outcome::TimedOut) };
+        self.schedule(after, Pending::AttemptEnds { id, attempt, outcome });
+        if outcome == Outcome::Ok && self.generator.percent(10) {
+            self.schedule(after / 2, Pending::StreamStarts { id, attempt });
+        }
+    }
+
+    /// Plays the next event that is due.
+    pub fn step(&mut self) {
+        let Reverse((due, sequence)) = self.due.pop().expect("arrivals never end");
+        self.now = due;
+        match self.pending.remove(&sequence).expect("planned once") {
+            Pending::Arrival => self.arrival(),
+            Pending::Change => self.change(),
+            Pending::ListArrives => self.list_arrives(),
+            Pending::Timer(timer) => self.tell(Event::Timer { timer }),
+            Pending::AttemptEnds { id, attempt, outcome } => self.attempt_ends(id, attempt, outcome),
+            Pending::StreamStarts { id, attempt } => {
+                let out = |a: &SentAttempt| a.out.then_some(a.sent);
+                let sent =
+                    self.requests.get(&id).and_then(|r| r.attempts.get(usize::from(attempt)).and_then(out));
+                if let Some(sent) = sent {
+                    let latency = self.now - sent;
+                    self.tell(Event::StreamStarted { id, attempt: AttemptNo(attempt), latency });
+                }
+            }
+            Pending::ClientLeaves { id } => {
+                if self.requests.get_mut(&id).is_some_and(|r| !std::mem::replace(&mut r.answered, true)) {
+                    self.tell(Event::RequestGone { id });
+                }
+            }
+            Pending::ProbeEnds { upstream } => {
+                let report = self.report();
+                let (outcome, latency) = (Outcome::Ok, Duration::from_millis(5));
+                self.tell(Event::ProbeEnded { upstream, outcome, latency, report: &report });
+            }
+        }
+    }
+
+    fn arrival(&mut self) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let classes = self.scenario.settings.classes.len() as u64;
+        // Sometimes a class or a tenant that the settings do not name.
+        let unknown = u64::from(self.generator.percent(1));
+        let class = ClassId(self.generator.below(classes + unknown) as u16);
+        let tenant = TenantId(self.generator.below(6) as u32);
+        let deadline =
+            self.scenario.settings.classes.get(usize::from(class.0)).map_or(LONGEST_ATTEMPT, |c| c.deadline);
+        let time_left = deadline.mul_f64(0.25 * (1 + self.generator.below(4)) as f64);
+        let work_ms = self.generator.percent(30).then_some(12.5);
+        let repeat = self.generator.percent(5);
+        self.requests.entry(id).or_default();
+        self.tell(Event::Request { id, class, tenant, time_left, work_ms, repeat });
+        if self.generator.percent(4) {
+            self.schedule(Duration::from_millis(60), Pending::ClientLeaves { id });
+        }
+        // Quiet stretches and bursts take turns.
+        let burst = (self.now.as_secs() / 5) % 3 == 0;
+        let gap = self.scenario.request_gap / if burst { 3 } else { 1 };
+        let gap = self.generator.around(gap);
+        self.schedule(gap, Pending::Arrival);
+    }
+
+    fn report(&mut self) -> Vec<f32> {
+        if self.scenario.settings.report_fields.is_empty() || self.generator.percent(20) {
+            return Vec::new();
+        }
+        let held = self.generator.below(12) as f32;
+        let utilization = 0.1 * self.generator.below(11) as f32;
+        let rest = if self.generator.percent(5) { f32::NAN } else { 1.0 };
+        vec![held, utilization, rest]
+    }
+
+    fn attempt_ends(&mut self, id: RequestId, attempt: u8, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(sent) = request.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else { return };
+        sent.out = false;
+        let upstream = sent.upstream;
+        let latency = self.now - sent.sent;
+        request.answered |= outcome == Outcome::Ok;
+        let finished = request.answered;
+        let report = self.report();
+        let attempt = AttemptNo(attempt);
+        self.note(match outcome {
+            Outcome::Ok => "ok",
+            Outcome::Error => "error",
+            Outcome::Rejected => "rejected",
+            Outcome::TimedOut => "timed out",
+            Outcome::ConnectFailed => "connect failed",
+            Outcome::Reset => "reset",
+            Outcome::Cancelled => "cancelled",
+            Outcome::NotSent => "not sent",
+        });
+        self.tell(Event::AttemptEnded { id, attempt, upstream, outcome, latency, finished, report: &report });
+    }
+
+    /// Changes the list of upstreams, or the condition of some of them.
+    fn change(&mut self) {
+        match self.generator.below(12) {
+            0 => self.tell(Event::Fleet { scope: FleetScope::Failed, listed: &[] }),
+            1 => self.list_arrives(),
+            2 => {
+                // A whole list that leaves out what has gone, and names newcomers.
+                if let Some(gone) = self.any_upstream() {
+                    self.entries.remove(&gone);
+                }
+                self.add_upstream(true);
+                let list = self.list();
+                self.tell(Event::Fleet { scope: FleetScope::Full, listed: &list });
+            }
+            3 => self.relist(Availability::Gone),
+            4 => self.relist(Availability::Draining),
+            5 | 6 => {
+                let id = self.add_upstream(true);
+                self.tell_change(id);
+            }
+            7 => self.restart(),
+            _ => self.change_conditions(),
+        }
+        let gap = self.generator.around(MEAN_CHANGE_GAP);
+        self.schedule(gap, Pending::Change);
+    }
+
+    /// The answer to a call for the list: most often the whole of it, sometimes a failure.
+    fn list_arrives(&mut self) {
+        if self.generator.percent(30) {
+            self.tell(Event::Fleet { scope: FleetScope::Failed, listed: &[] });
+            return;
+        }
+        let list = self.list();
+        self.tell(Event::Fleet { scope: FleetScope::Full, listed: &list });
+    }
+
+    fn tell_change(&mut self, id: UpstreamId) {
+        let entry = self.entries[&id].0.clone();
+        self.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[entry] });
+    }
+
+    fn relist(&mut self, availability: Availability) {
+        let Some(id) = self.any_upstream() else { return };
+        if let Some((entry, _)) = self.entries.get_mut(&id) {
+            entry.availability = availability;
+        }
+        self.tell_change(id);
+        if availability == Availability::Gone {
+            self.entries.remove(&id);
+        }
+    }
+
+    fn restart(&mut self) {
+        let Some(id) = self.any_upstream() else { return };
+        let now = self.now;
+        if let Some((entry, condition)) = self.entries.get_mut(&id) {
+            entry.started = Some(now);
+            entry.availability = Availability::Ready;
+            *condition = Condition::Healthy;
+        }
+        self.tell_change(id);
+    }
+
+    fn change_conditions(&mut self) {
+        let changed = 1 + self.entries.len() / 12;
+        for _ in 0..changed {
+            let condition = match self.generator.below(14) {
+                0 => Condition::Slow,
+                1 => Condition::Hanging,
+                2 => Condition::Erring,
+                3 => Condition::Rejecting,
+                4 => Condition::Resetting,
+                5 => Condition::Unreachable,
+                _ => Condition::Healthy,
+            };
+            if let Some(id) = self.any_upstream()
+                && let Some((_, held)) = self.entries.get_mut(&id)
+            {
+                *held = condition;
+            }
+        }
+    }
+}
