--- a/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 //! same actions.
 //!
 //! ```
-//! use lapisroute::*;
+//! use balancer_core::*;
 //! use std::time::Duration;
 //! let ms = Duration::from_millis;
 //!
@@ -80,6 +80,6 @@
 pub use interface::*;
 
 /// README's embedding example, kept honest by the tests.
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct Readme;
--- a/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,8 +1,8 @@
 //! Buckets, grants and refusals.
 
 mod common;
+use balancer_core::*;
 use common::*;
-use lapisroute::*;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -2,8 +2,8 @@
 //! allow and chance explains.
 
 mod common;
+use balancer_core::*;
 use common::*;
-use lapisroute::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small embedder for tests: it keeps what a balancer did for each request.
 #![allow(dead_code)]
 
-use lapisroute::*;
+use balancer_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -1,8 +1,8 @@
 //! Failures listed or not: what users would want of a balancer alone.
 
 mod common;
+use balancer_core::*;
 use common::*;
-use lapisroute::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/tests/golden/action_hash.rs
+++ b/crates/core/tests/golden/action_hash.rs
@@ -1,6 +1,6 @@
 //! A hash over the actions of a balancer. Only numbers enter it, never the name of a type.
 
-use lapisroute::{Action, RefusalCause};
+use balancer_core::{Action, RefusalCause};
 use std::time::Duration;
 
 /// FNV-1a over the numbers of the actions.
--- a/tests/golden/scenario.rs
+++ b/crates/core/tests/golden/scenario.rs
@@ -1,6 +1,6 @@
 //! The settings and the loads that are played.
 
-use lapisroute::*;
+use balancer_core::*;
 use std::time::Duration;
 
 /// One balancer with its surroundings.
--- a/tests/golden/world.rs
+++ b/crates/core/tests/golden/world.rs
@@ -3,7 +3,7 @@
 use crate::action_hash::ActionHash;
 use crate::generator::Generator;
 use crate::scenario::Scenario;
-use lapisroute::*;
+use balancer_core::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
--- a/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -1,8 +1,8 @@
 //! State stays bounded, and a balancer finds its way back from having admitted nothing.
 
 mod common;
+use balancer_core::*;
 use common::*;
-use lapisroute::*;
 
 fn settings() -> Settings {
     Settings {
--- a/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -7,11 +7,16 @@
 
 const LINES_MOST: usize = 1200;
 const CHARACTERS_MOST: usize = 110;
-/// The files of `src/` that hold types and arithmetic alone.
-const NOT_DECIDING: [&str; 4] = ["src/interface.rs", "src/lib.rs", "src/state.rs", "src/stats.rs"];
+/// The files of the core that hold types and arithmetic alone.
+const NOT_DECIDING: [&str; 4] = [
+    "crates/core/src/interface.rs",
+    "crates/core/src/lib.rs",
+    "crates/core/src/state.rs",
+    "crates/core/src/stats.rs",
+];
 
 fn root() -> &'static Path {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
+    Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).expect("the root of the workspace")
 }
 
 /// The files that the deploy file's `policy` names.
@@ -63,7 +68,7 @@
 
 #[test]
 fn the_deploy_file_names_all_files_that_decide_and_no_others() {
-    let mut deciding = sources(root().join("src"));
+    let mut deciding = sources(root().join("crates/core/src"));
     for name in NOT_DECIDING {
         assert!(deciding.remove(name), "{name} is no more");
     }
--- a/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The four rules under random legal event sequences, and the cold budget over many balancers together.
 
 mod common;
+use balancer_core::*;
 use common::{class, listed, ms};
-use lapisroute::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -1,8 +1,8 @@
 //! Thin traffic keeps to a subset; together the balancers load every upstream alike.
 
 mod common;
+use balancer_core::*;
 use common::*;
-use lapisroute::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const BALANCERS: u32 = 240;
--- a/node/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -10,7 +10,7 @@
 use crate::list::News;
 use crate::metrics::{AnswerKind, Metrics};
 use crate::upstream::{Ended, Outgoing, Served, Upstreams};
-use lapisroute::{
+use balancer_core::{
     Action, AttemptNo, Balancer, ClassId, Event, FleetScope, Listed, Outcome, RefusalCause, RequestId,
     TenantId, TimerId, UpstreamId,
 };
@@ -507,7 +507,7 @@
     async fn following(discovery: &str) -> (Rc<Driver>, TcpListener) {
         let asking = format!(r#""discovery":"{discovery}","guarantees":{{"ask_every_ms":60000}}"#);
         let site =
-            lapisroute_settings::parse(&format!(r#"{{"classes":[{{"name":"look"}}],{asking}}}"#)).unwrap();
+            balancer_settings::parse(&format!(r#"{{"classes":[{{"name":"look"}}],{asking}}}"#)).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let discovery = Discovery::new(listener.local_addr().unwrap(), &site, Rc::default());
         let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
@@ -633,7 +633,7 @@
     async fn a_request_whose_client_left_while_it_waited_is_not_sent() {
         let class = r#"{"name":"book","aim_ms":60000,"hard_limit_ms":60000,"effect":"at_most_once"}"#;
         let rest = r#""limits":{"cancelling":false},"parties":[{"name":"acme","allowance_per_s":1000.0}]"#;
-        let site = lapisroute_settings::parse(&format!(r#"{{"classes":[{class}],{rest}}}"#)).unwrap();
+        let site = balancer_settings::parse(&format!(r#"{{"classes":[{class}],{rest}}}"#)).unwrap();
         let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = upstream.local_addr().unwrap();
         let discovery = Discovery::new(endpoint, &site, Rc::default());
--- a/node/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -1,10 +1,10 @@
 //! Names and forms of headers, and which of them stay behind when a message is passed on.
 
+use balancer_core::LoadField;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
     TRANSFER_ENCODING, UPGRADE,
 };
-use lapisroute::LoadField;
 
 /// A request's own id, new with each try.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
@@ -59,7 +59,7 @@
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        let field = lapisroute_settings::load_field(name.trim());
+        let field = balancer_settings::load_field(name.trim());
         let value = value.trim().parse().ok().filter(|v: &f32| v.is_finite());
         if let (Some(k), Some(value)) = (fields.iter().position(|f| *f == field), value) {
             values[k] = value;
--- a/node/src/list.rs
+++ b/crates/proxy/src/list.rs
@@ -2,8 +2,8 @@
 
 use crate::seldom::Seldom;
 use crate::upstream::Place;
-use lapisroute::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
-use lapisroute_settings::Names;
+use balancer_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use balancer_settings::Names;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use thiserror::Error;
--- a/node/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `maplehook`: a load balancer on real sockets. Every decision is the `lapisroute` library's.
+//! `balancer-proxy`: a load balancer on real sockets. Every decision is the `balancer_core` library's.
 
 mod backoff;
 mod client;
@@ -18,10 +18,10 @@
 mod socket_io;
 mod upstream;
 
+use balancer_core::Balancer;
 use config::Config;
 use discovery::{Discovery, Progress};
 use driver::Driver;
-use lapisroute::Balancer;
 use metrics::Metrics;
 use server::{Phase, Server};
 use signals::SignalFlag;
@@ -71,7 +71,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("maplehook: {e}");
+            eprintln!("balancer-proxy: {e}");
             ExitCode::FAILURE
         }
     }
--- a/node/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of what this balancer does, registered in Prometheus' terms and logged while they change.
 
-use lapisroute::{Outcome, RefusalCause};
+use balancer_core::{Outcome, RefusalCause};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, text::encode};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/node/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Connection;
 use crate::seldom::Seldom;
-use lapisroute::UpstreamId;
+use balancer_core::UpstreamId;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
--- a/node/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -3,13 +3,13 @@
 use crate::driver::Asked;
 use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
 use crate::upstream::Outgoing;
+use balancer_core::{ClassId, Effect, TenantId};
+use balancer_settings::Site;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
-use lapisroute::{ClassId, Effect, TenantId};
-use lapisroute_settings::Site;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::HashSet;
--- a/node/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -4,6 +4,7 @@
 use crate::driver::{Answer, Asked, Driver};
 use crate::requests::{OpenId, Requests, Unfit};
 use crate::seldom::Seldom;
+use balancer_settings::Site;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -12,7 +13,6 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use lapisroute_settings::Site;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -277,7 +277,7 @@
     use crate::discovery::Discovery;
     use crate::list::News;
     use crate::upstream::Upstreams;
-    use lapisroute::Balancer;
+    use balancer_core::Balancer;
     use std::net::SocketAddr;
     use std::pin::pin;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -285,7 +285,7 @@
 
     /// A server in its leave with no upstreams: its address, its phase and its task.
     async fn leaving_server() -> (SocketAddr, watch::Sender<Phase>, JoinHandle<()>) {
-        let site = lapisroute_settings::parse(r#"{"classes":[{"name":"look"}]}"#).unwrap();
+        let site = balancer_settings::parse(r#"{"classes":[{"name":"look"}]}"#).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
@@ -325,7 +325,7 @@
             r#"{{"classes":[{class}],"limits":{{"cancelling":false}},
             "parties":[{{"name":"acme","allowance_per_s":1000.0}}]}}"#
         );
-        let site = lapisroute_settings::parse(&site).unwrap();
+        let site = balancer_settings::parse(&site).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -365,7 +365,7 @@
     async fn a_client_that_sends_more_behind_its_request_and_leaves_is_not_sent_on() {
         let class = r#"{"name":"look","aim_ms":60000,"hard_limit_ms":60000,"effect":"idempotent"}"#;
         let rest = r#""limits":{"cancelling":false},"parties":[{"name":"acme","allowance_per_s":1000.0}]"#;
-        let site = lapisroute_settings::parse(&format!(r#"{{"classes":[{class}],{rest}}}"#)).unwrap();
+        let site = balancer_settings::parse(&format!(r#"{{"classes":[{class}],{rest}}}"#)).unwrap();
         for (closing, more) in [(false, 1), (true, 0), (true, 1), (false, 60 * 1024), (true, 60 * 1024)] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
--- a/node/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -242,7 +242,7 @@
     pub fn launch(&self) -> Node {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("maplehook-{}-{number}.json", std::process::id()));
+        let path = std::env::temp_dir().join(format!("balancer-proxy-{}-{number}.json", std::process::id()));
         std::fs::write(&path, self.text()).unwrap();
         // The limit is the system's, too: what goes over it fails.
         let mut child = Command::new("sh")
@@ -250,7 +250,7 @@
                 "-c",
                 "ulimit -n $0 && exec $1",
                 &self.sockets.to_string(),
-                env!("CARGO_BIN_EXE_maplehook"),
+                env!("CARGO_BIN_EXE_balancer-proxy"),
             ])
             .env("NODE_CONFIG", &path)
             .env("NODE_LOG", "info")
--- a/node/tests/large_fleet.rs
+++ b/crates/proxy/tests/large_fleet.rs
@@ -1,12 +1,12 @@
 //! Processes of the balancer in a fleet of thousands of servers, under faults drawn from a seed.
 //!
-//! By hand, with more seeds: `SOAK_SEEDS=50 cargo test --release -p maplehook --test large_fleet -- --nocapture`.
+//! By hand, with more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test large_fleet -- --nocapture`.
 
-use firlead_testbed::agent::AgentFaults;
-use firlead_testbed::client::Answers;
-use firlead_testbed::soak::{Outcome, Plan, play};
 use std::path::Path;
 use std::time::Duration;
+use testbed::agent::AgentFaults;
+use testbed::client::Answers;
+use testbed::soak::{Outcome, Plan, play};
 
 /// The grace for servers that drain, and what a busy machine may add to it.
 const GRACE: Duration = Duration::from_millis(300 + 100);
@@ -48,7 +48,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut failed = Vec::new();
     for seed in seeds() {
-        let outcome = play(plan, seed, Path::new(env!("CARGO_BIN_EXE_maplehook")), &folder).unwrap();
+        let outcome = play(plan, seed, Path::new(env!("CARGO_BIN_EXE_balancer-proxy")), &folder).unwrap();
         println!("{name}, seed {seed}: {}", summary(&outcome));
         for breach in outcome.breaches.iter().take(SHOWN_BREACHES) {
             println!("  {breach:?}");
--- a/node/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -536,21 +536,22 @@
 /// Guards against a balancer that starts half configured: it says what is wrong and ends.
 #[test]
 fn a_bad_configuration_is_named() {
-    let path = std::env::temp_dir().join(format!("maplehook-bad-{}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!("balancer-proxy-bad-{}.json", std::process::id()));
     let good = Setup::with(&[]).text();
     for (from, to, named) in [
         ("idempotent", "perhaps", "perhaps"),
         ("\"seed\"", "\"seeds\"", "seed"),
         ("\"balancers\":1", "\"balancers\":0", "balancers"),
-        ("{", "[", "maplehook:"),
+        ("{", "[", "balancer-proxy:"),
     ] {
         std::fs::write(&path, good.replacen(from, to, 1)).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_maplehook"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"));
         let output = command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success() && error.contains(named), "{error}");
     }
     std::fs::remove_file(&path).unwrap();
-    let output = Command::new(env!("CARGO_BIN_EXE_maplehook")).env_remove("NODE_CONFIG").output().unwrap();
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_balancer-proxy")).env_remove("NODE_CONFIG").output().unwrap();
     assert!(!output.status.success());
 }
--- a/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,9 @@
 //!
 //! Keys that are not known are skipped; keys that are missing take the values of `Settings::default()`.
 
-use lapisroute::{Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId};
+use balancer_core::{
+    Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId,
+};
 use serde::Deserialize;
 use std::time::Duration;
 
--- a/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! `lapisroute-benchlink`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
+//! `simulator-adapter`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
 //!
 //! It only translates; every decision is the library's. Anything malformed ends it with one line on
 //! standard error and exit code 1, and with no part of a reply written.
 
 mod wire;
 
-use lapisroute::{Action, Balancer, Event, FleetScope, Listed};
+use balancer_core::{Action, Balancer, Event, FleetScope, Listed};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
                 return Ok(());
             }
             Record::PowerOn { seed, settings } => {
-                let settings = lapisroute_settings::parse(settings).map_err(wrong)?.settings;
+                let settings = balancer_settings::parse(settings).map_err(wrong)?.settings;
                 let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
                 self.instances.insert(instance, balancer);
                 self.pending.retain(|(owner, _)| *owner != instance);
@@ -137,7 +137,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("lapisroute-benchlink: {what}");
+            eprintln!("simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! The simulator's binary dialect: batches of events in, replies of actions out. No decisions.
 
-use lapisroute::{
+use balancer_core::{
     Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome, RequestId,
     TenantId, TimerId, UpstreamId, ZoneId,
 };
-use lapisroute_settings::ms;
+use balancer_settings::ms;
 use std::time::Duration;
 
 /// What is wrong with a batch, and at which byte of it (the length field included).
--- a/benchlink/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -7,7 +7,7 @@
     "effect": "idempotent", "worth": 1.0, "name": "a", "unknown": [1]}], "news": {"of": "tomorrow"}}"#;
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lapisroute-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
