--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: one token bucket for each tenant, refilled every tick by a guaranteed rate and a share of the
 //! spare room, in proportion to demand.
 
-use crate::interface::Settings;
 use crate::room::Room;
+use crate::settings::Settings;
 
 /// Seconds and requests over which demand V_i is counted at least: a tick sees too few to go by.
 const DEMAND_OVER: f64 = 1.0;
@@ -41,7 +41,7 @@
 
 /// Seconds of a tenant's guarantee that its bucket holds.
 fn bucket_over(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(0.0, f64::max).min(BUCKET_OVER)
+    settings.classes.iter().map(|c| c.latency_objective.as_secs_f64()).fold(0.0, f64::max).min(BUCKET_OVER)
 }
 
 /// The buckets of all tenants.
@@ -58,7 +58,7 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         let bucket_over = bucket_over(settings);
         let buckets = (0..settings.tenants.len().max(1)).map(|i| {
-            let stated = settings.tenants.get(i).map_or(0.0, |t| t.allowance_per_s);
+            let stated = settings.tenants.get(i).map_or(0.0, |t| t.quota_per_second);
             let guarantee = if stated > 0.0 { stated / f64::from(settings.balancers) } else { 1.0 };
             let tokens = BUCKET_LEAST + guarantee * bucket_over;
             Bucket { tokens, part: guarantee, guarantee, ..Bucket::default() }
--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -6,10 +6,13 @@
 //! skipping one that holds clearly more than the next ones. Everything else here is an exception to that path
 //! and says what it guards against. Times are seconds.
 
+use crate::action::{Action, RejectionReason};
 use crate::admission::Admission;
 use crate::discovery_schedule::DiscoverySchedule;
-use crate::interface::*;
+use crate::event::{Availability, EndpointEntry, Event, Outcome, UpdateScope};
+use crate::ids::{AttemptIndex, RequestId, TimerId, UpstreamId};
 use crate::room::{Latency, REPORT_STANDS, Room, UTILIZATION_LEAST, mean_utilization};
+use crate::settings::{DeduplicationScope, LoadField, RetrySafety, Settings, SettingsError, WeightKind};
 use crate::stale_connections::StaleConnections;
 use crate::state::{Attempt, Health, Learned, Request, Upstream};
 use crate::stats::Chance;
@@ -125,10 +128,10 @@
 impl Balancer {
     /// A balancer with these settings; `seed` is its only source of chance.
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
-        set.check()?;
-        let stated: f64 = set.tenants.iter().map(|t| t.allowance_per_s).filter(|a| a.is_finite()).sum();
+        set.validate()?;
+        let stated: f64 = set.tenants.iter().map(|t| t.quota_per_second).filter(|a| a.is_finite()).sum();
         let classes = set.classes.iter().map(|c| {
-            let aim = c.aim.as_secs_f64();
+            let aim = c.latency_objective.as_secs_f64();
             Learned { latency: aim * 0.3, usual: aim * OVERDUE_BY, share: 1.0, ..Learned::default() }
         });
         let each = stated.max(1.0) / f64::from(set.balancers);
@@ -157,26 +160,34 @@
         (self.now, self.at) = (now, at);
         if !std::mem::replace(&mut self.ticking, true) {
             self.last_tick = at;
-            self.discovery.start(at, self.set.ask_every, &mut self.rng);
+            self.discovery.start(at, self.set.poll_interval, &mut self.rng);
             let after = Duration::from_secs_f64(TICK * self.rng.f64());
-            self.out.push(Action::Timer { after, timer: TICK_TIMER });
+            self.out.push(Action::SetTimer { after, timer: TICK_TIMER });
         }
         match event {
-            Event::Fleet { scope, listed } => self.fleet(scope, listed),
-            Event::Request { id, class, tenant, time_left, .. } => {
+            Event::EndpointUpdate { scope, entries } => self.fleet(scope, entries),
+            Event::RequestArrived { id, class, tenant, time_left, .. } => {
                 self.request(id, usize::from(class.0), tenant.0 as usize, time_left);
             }
             Event::StreamStarted { id, .. } => {
                 self.requests.get_mut(&id).into_iter().for_each(|r| r.streaming = true);
             }
-            Event::AttemptEnded { id, attempt, upstream, outcome, latency, finished, report } => {
-                self.report(upstream, report);
-                self.attempt_ended(id, attempt.0, outcome, latency.as_secs_f64(), finished);
+            Event::AttemptEnded {
+                id,
+                attempt,
+                upstream,
+                outcome,
+                latency,
+                request_finished,
+                load_report,
+            } => {
+                self.report(upstream, load_report);
+                self.attempt_ended(id, attempt.0, outcome, latency.as_secs_f64(), request_finished);
             }
-            Event::RequestGone { id } => self.end(id),
-            Event::ProbeEnded { upstream, report, .. } => self.report(upstream, report),
-            Event::Timer { timer: TICK_TIMER } => self.tick(),
-            Event::Timer { .. } => {}
+            Event::ClientDisconnected { id } => self.end(id),
+            Event::HealthCheckEnded { upstream, load_report, .. } => self.report(upstream, load_report),
+            Event::TimerFired { timer: TICK_TIMER } => self.tick(),
+            Event::TimerFired { .. } => {}
         }
         std::mem::swap(&mut self.out, actions);
     }
@@ -188,11 +199,11 @@
             return;
         }
         if !self.admission.arrival(tenant) {
-            self.refuse(id, left, RefusalCause::NoToken);
+            self.refuse(id, left, RejectionReason::OverQuota);
             return;
         }
         let Some(turn) = self.next_turn(class) else {
-            self.refuse(id, left, RefusalCause::NoUpstream);
+            self.refuse(id, left, RejectionReason::NoUpstream);
             return;
         };
         self.admission.take_token(tenant);
@@ -203,8 +214,8 @@
         }
         let deadline = self.at + left.as_secs_f64();
         let c = &self.set.classes[class];
-        let lasts = c.late_worth > 0.0 || c.aim_stretch > 0.0 || c.streamed;
-        let aim = self.at + AIM_LEFT * c.aim.as_secs_f64();
+        let lasts = c.late_priority_weight > 0.0 || c.latency_objective_stretch > 0.0 || c.streamed;
+        let aim = self.at + AIM_LEFT * c.latency_objective.as_secs_f64();
         let worth_until = if lasts { deadline } else { deadline.min(aim) };
         self.requests.insert(id, Request { class, worth_until, deadline, ..Request::default() });
         self.send(id, turn);
@@ -212,10 +223,10 @@
 
     /// A refusal always tells when to come back. The moment is spread by the request's own number, so that
     /// those refused together do not return together.
-    fn refuse(&mut self, id: RequestId, left: Duration, cause: RefusalCause) {
+    fn refuse(&mut self, id: RequestId, left: Duration, cause: RejectionReason) {
         let longest = self.set.max_retry_after.min(left / 2);
         let retry_after = longest.mul_f64(0.5 + 0.5 * Chance::with_seed(u64::from(id.0)).f64());
-        self.out.push(Action::Refuse { id, retry_after: Some(retry_after), cause });
+        self.out.push(Action::Reject { id, retry_after: Some(retry_after), reason: cause });
     }
 
     /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
@@ -231,10 +242,10 @@
             self.due.remove(&(when, id, attempt));
             self.overdue(id, attempt);
         }
-        if self.set.ask_for_fleet && self.discovery.is_due(at, self.set.ask_every, &mut self.rng) {
-            self.out.push(Action::WatchFleet);
+        if self.set.poll_endpoints && self.discovery.is_due(at, self.set.poll_interval, &mut self.rng) {
+            self.out.push(Action::WatchEndpoints);
         }
-        self.out.push(Action::Timer { after: Duration::from_secs_f64(TICK), timer: TICK_TIMER });
+        self.out.push(Action::SetTimer { after: Duration::from_secs_f64(TICK), timer: TICK_TIMER });
     }
 
     /// Estimates the room W and refills the buckets from it.
@@ -251,7 +262,7 @@
     fn fade_latencies(&mut self, tau: f64) {
         for (class, learned) in self.set.classes.iter().zip(&mut self.classes) {
             if self.at > learned.at + HEARD {
-                let low = 0.5 * ROOM * class.aim.as_secs_f64();
+                let low = 0.5 * ROOM * class.latency_objective.as_secs_f64();
                 learned.latency -= (tau / HEARD).min(1.0) * (learned.latency - low).max(0.0);
             }
         }
@@ -263,7 +274,7 @@
         let shares: f64 = self.classes.iter().map(|l| l.share).sum();
         let mean = self.classes.iter().map(|l| l.latency * l.share).sum::<f64>() / shares.max(1e-9);
         let admitted = self.set.classes.iter().zip(&self.classes).filter(|(_, l)| l.share > SHARE_LEAST);
-        let slacks = admitted.map(|(c, l)| part_of_aim * c.aim.as_secs_f64() - l.latency);
+        let slacks = admitted.map(|(c, l)| part_of_aim * c.latency_objective.as_secs_f64() - l.latency);
         Latency { mean, slack: slacks.fold(f64::INFINITY, f64::min) }
     }
 
@@ -275,13 +286,14 @@
         let spare_ejections = ejected <= EJECTED_MOST * turns().filter(|u| u.ready).count() as f64;
         let far = (1.0 - self.set.prices.cross_zone / FAR_PRICE).max(0.0);
         let near_ready = turns().any(|u| u.ready && u.zone == self.set.zone && u.ejected_until <= self.at);
-        let (fade, cold_from) = ((-tau / PACE_KEPT).exp(), self.set.cold_from.min(1.0));
-        let aim = self.set.classes.iter().map(|c| c.aim.as_secs_f64()).fold(f64::INFINITY, f64::min);
+        let (fade, slow_start_floor) = ((-tau / PACE_KEPT).exp(), self.set.slow_start_floor.min(1.0));
+        let aim =
+            self.set.classes.iter().map(|c| c.latency_objective.as_secs_f64()).fold(f64::INFINITY, f64::min);
         let laid = (-tau / aim).exp();
         let usual_utilization =
             mean_utilization(turns(), self.at).map_or(1.0, |utilization| utilization.max(UTILIZATION_LEAST));
         // Not past the multiple at which it falls: it may be able to do no more than what is stated.
-        let ramp_most = self.set.fall_multiple.max(1.0);
+        let ramp_most = self.set.overload_factor.max(1.0);
         for j in &self.turns {
             let u = &mut self.ring[*j];
             if u.started.is_none() {
@@ -296,8 +308,9 @@
             u.ghosts *= laid;
             let pace = (u.pace * u.seen + PACE_DOUBT) / (u.seen + PACE_DOUBT);
             let climb = u.started.map_or(1.0, |s| {
-                let share = ((self.at - s) / self.set.cold_time.as_secs_f64().max(1e-6)).clamp(0.0, 1.0);
-                cold_from + (1.0 - cold_from) * share
+                let share =
+                    ((self.at - s) / self.set.slow_start_duration.as_secs_f64().max(1e-6)).clamp(0.0, 1.0);
+                slow_start_floor + (1.0 - slow_start_floor) * share
             });
             u.started = u.started.filter(|_| climb < 1.0);
             u.capacity = (u.size / largest * climb * u.ramp_scale / pace.clamp(0.25, 4.0)).max(1e-3);
@@ -312,7 +325,7 @@
         let (warm_rate, warm) = warm.fold((0.0, 0.0), |(sum, n), u| (sum + u.weight, n + 1.0));
         let seen = if warm > 0.0 { self.room.rate() * warm_rate / warm } else { self.room.rate() };
         let each = seen.max(self.stated / f64::max(self.turns.len() as f64, 1.0));
-        let cold = COLD_SHARE * self.set.fall_multiple;
+        let cold = COLD_SHARE * self.set.overload_factor;
         for j in &self.turns {
             let u = &mut self.ring[*j];
             if u.started.is_some() {
@@ -399,18 +412,18 @@
         let u = &mut self.ring[turn];
         let mut idle = if u.in_flight > 0 || u.used_at <= 0.0 { 0.0 } else { self.at - u.used_at };
         if self.stale.may_be_dead(self.at, idle) {
-            self.out.push(Action::CloseIdle { upstream: u.id });
+            self.out.push(Action::CloseIdleConnections { upstream: u.id });
             idle = 0.0;
         }
         u.used_at = self.at;
         u.in_flight += 1;
         let class = &self.set.classes[r.class];
-        let overdue = self.classes[r.class].usual.min(OVERDUE_BY * class.aim.as_secs_f64());
+        let overdue = self.classes[r.class].usual.min(OVERDUE_BY * class.latency_objective.as_secs_f64());
         // What is worth nothing after its aim may be called back then, see `overdue`; where that is not
         // allowed it is not waited for any longer.
         let spent = Duration::from_secs_f64((r.worth_until - self.at).clamp(1e-3, 1e6));
-        let timeout = (!self.set.cancelling && r.worth_until < r.deadline).then_some(spent);
-        self.out.push(Action::Attempt { id, upstream: u.id, timeout });
+        let timeout = (!self.set.cancellation && r.worth_until < r.deadline).then_some(spent);
+        self.out.push(Action::SendAttempt { id, upstream: u.id, timeout });
         self.due.insert((self.now + Duration::from_secs_f64(overdue), id, r.attempts.len() as u8));
         let (upstream, zone, cell, sent) = (u.id, u.zone, u.cell, self.at);
         r.attempts.push(Attempt { upstream, zone, cell, sent, out: true, idle, ..Attempt::default() });
@@ -418,16 +431,16 @@
 
     /// Whether an attempt of a request may go to an upstream without an effect happening twice.
     fn safe(&self, r: &Request, u: &Upstream) -> bool {
-        let Some(first) = r.attempts.iter().find(|a| a.out || a.may_have_run) else { return true };
-        let Effect::Deduplicated { group, ttl } = self.set.classes[r.class].effect else {
-            return self.set.classes[r.class].effect == Effect::Idempotent;
+        let Some(first) = r.attempts.iter().find(|a| a.out || a.possibly_executed) else { return true };
+        let RetrySafety::Deduplicated { scope, ttl } = self.set.classes[r.class].retry_safety else {
+            return self.set.classes[r.class].retry_safety == RetrySafety::Idempotent;
         };
         // For the way there: a connection may have to be made first.
         let margin = self.set.connect_timeout.as_secs_f64() + 0.05;
-        let same = match group {
-            DedupGroup::All => true,
-            DedupGroup::Zone => u.zone == first.zone,
-            DedupGroup::Cell => u.cell == first.cell,
+        let same = match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => u.zone == first.zone,
+            DeduplicationScope::Cell => u.cell == first.cell,
         };
         same && self.at + margin < first.sent + ttl.as_secs_f64()
     }
@@ -476,7 +489,7 @@
         let Some(a) = r.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else { return };
         let again = std::mem::replace(&mut a.overdue, true);
         let class = &self.set.classes[r.class];
-        let by = a.sent + self.classes[r.class].usual.max(OVERDUE_BY * class.aim.as_secs_f64());
+        let by = a.sent + self.classes[r.class].usual.max(OVERDUE_BY * class.latency_objective.as_secs_f64());
         let mut silent = true;
         if let Some(&j) = self.index.get(&a.upstream) {
             let u = &mut self.ring[j];
@@ -487,10 +500,10 @@
         // other the work would be done for nobody, or twice. Of many balancers each has an answer from an
         // upstream only now and then: that none came since this attempt was sent is no sign by itself.
         let last = r.attempts.len() >= usize::from(self.set.max_attempts);
-        let repeatable = class.effect != Effect::AtMostOnce && !class.streamed && !last;
+        let repeatable = class.retry_safety != RetrySafety::AtMostOnce && !class.streamed && !last;
         let spare = repeatable && self.at >= by && !self.set.hedging && self.retries >= 1.0;
-        if self.set.cancelling && silent && (spare || self.at >= r.worth_until) {
-            self.out.push(Action::Cancel { id, attempt: AttemptNo(attempt) });
+        if self.set.cancellation && silent && (spare || self.at >= r.worth_until) {
+            self.out.push(Action::CancelAttempt { id, attempt: AttemptIndex(attempt) });
         } else if let Some(next) = [by, r.worth_until].into_iter().find(|t| *t > self.at && *t < r.deadline) {
             let after = Duration::from_secs_f64((next - self.at).max(1e-6));
             self.due.insert((self.now + after, id, attempt));
@@ -505,7 +518,7 @@
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(a) = r.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else { return };
         a.out = false;
-        a.may_have_run = !outcome.never_ran();
+        a.possibly_executed = !outcome.proves_not_executed();
         let (upstream, was_overdue, class, ended) = (a.upstream, (a.overdue, a.idle), r.class, r.ended);
         let owed = !finished && !ended;
         let (others, deadline) = (r.attempts.iter().any(|a| a.out), r.deadline);
@@ -514,7 +527,7 @@
             self.end(id);
         } else if owed && !others {
             // A try that never ran adds no work to the fleet: it costs a tenth.
-            let cost = if outcome.never_ran() { 0.1 } else { 1.0 };
+            let cost = if outcome.proves_not_executed() { 0.1 } else { 1.0 };
             if !self.further(id, cost) {
                 self.give_up(id, deadline);
             }
@@ -527,10 +540,10 @@
     /// The final answer when no attempt is out and none may follow: a refusal only if nothing can have run.
     fn give_up(&mut self, id: RequestId, deadline: f64) {
         let Some(r) = self.requests.remove(&id) else { return };
-        let safe = self.set.classes[r.class].effect == Effect::Idempotent;
-        if safe || r.attempts.iter().all(|a| !a.may_have_run) {
+        let safe = self.set.classes[r.class].retry_safety == RetrySafety::Idempotent;
+        if safe || r.attempts.iter().all(|a| !a.possibly_executed) {
             let left = (deadline - self.at).max(0.0);
-            self.refuse(id, Duration::from_secs_f64(left.min(1e6)), RefusalCause::NoFurtherAttempt);
+            self.refuse(id, Duration::from_secs_f64(left.min(1e6)), RejectionReason::NoRetry);
         } else {
             self.out.push(Action::Fail { id });
         }
@@ -539,9 +552,9 @@
     /// The request is over: nothing more is sent for it; what is still out is called back.
     fn end(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let call_back = !std::mem::replace(&mut r.ended, true) && self.set.cancelling;
+        let call_back = !std::mem::replace(&mut r.ended, true) && self.set.cancellation;
         for (k, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.out && call_back) {
-            self.out.push(Action::Cancel { id, attempt: AttemptNo(k as u8) });
+            self.out.push(Action::CancelAttempt { id, attempt: AttemptIndex(k as u8) });
         }
         if r.attempts.iter().all(|a| !a.out) {
             self.requests.remove(&id);
@@ -550,7 +563,7 @@
 
     /// What one outcome tells of its upstream, its class and the fleet.
     fn learn(&mut self, id: UpstreamId, class: usize, outcome: Outcome, latency: f64, way: (bool, f64)) {
-        let ((overdue, idle), aim) = (way, self.set.classes[class].aim.as_secs_f64());
+        let ((overdue, idle), aim) = (way, self.set.classes[class].latency_objective.as_secs_f64());
         let learned = &mut self.classes[class];
         let ratio = latency / learned.latency.max(1e-6);
         let ok = outcome == Outcome::Ok;
@@ -646,7 +659,7 @@
         // Reports are old: less own requests of now they say nothing of the others, who hold their part.
         let others = 1.0 - 1.0 / f64::from(self.set.balancers.max(1));
         let mut most = None;
-        for (field, value) in self.set.report_fields.iter().zip(report).filter(|(_, v)| v.is_finite()) {
+        for (field, value) in self.set.load_report_fields.iter().zip(report).filter(|(_, v)| v.is_finite()) {
             let value = f64::from(*value).clamp(0.0, 1e4);
             match field {
                 LoadField::InFlight | LoadField::Queue => most = Some(value.max(most.unwrap_or(0.0))),
@@ -661,22 +674,22 @@
         }
     }
 
-    fn fleet(&mut self, scope: FleetScope, listed: &[Listed]) {
-        if scope == FleetScope::Failed {
-            self.discovery.failed(self.at, self.set.ask_every, &mut self.rng);
+    fn fleet(&mut self, scope: UpdateScope, listed: &[EndpointEntry]) {
+        if scope == UpdateScope::Failed {
+            self.discovery.failed(self.at, self.set.poll_interval, &mut self.rng);
             return;
         }
-        if scope != FleetScope::Cached {
+        if scope != UpdateScope::Cached {
             self.discovery.answered();
         }
-        let mut changed = scope != FleetScope::Changes;
+        let mut changed = scope != UpdateScope::Delta;
         if changed {
             // What a full list no longer names is gone.
             self.ring.iter_mut().for_each(|u| (u.ready, u.draining) = (false, false));
         }
         let (first, mut grown) = (self.ring.is_empty(), false);
         for l in listed {
-            let started = l.started.map(|s| s.as_secs_f64());
+            let started = l.started_at.map(|s| s.as_secs_f64());
             let j = *self.index.entry(l.id).or_insert_with(|| {
                 // A newcomer to a list already known has just started, whatever the list says.
                 let started = started.or((!first).then_some(self.at));
@@ -691,17 +704,18 @@
             u.ready = l.availability == Availability::Ready;
             u.draining = l.availability == Availability::Draining;
             let weight = if l.weight > 0.0 && l.weight.is_finite() { l.weight } else { 1.0 };
-            match self.set.weights {
-                Weights::Off => u.size = 1.0,
-                Weights::Size => u.size = weight,
-                Weights::Live => {
+            match self.set.weight_kind {
+                WeightKind::Ignored => u.size = 1.0,
+                WeightKind::Size => u.size = weight,
+                WeightKind::Live => {
                     u.size = u.size.max(weight);
                     let others = 1.0 - 1.0 / f64::from(self.set.balancers.max(1));
                     (u.held, u.held_at) = ((u.size / weight - 1.0) * others, self.at);
                 }
             }
-            let fresh =
-                |s: &f64| self.at - s < self.set.cold_time.as_secs_f64() && u.started.is_none_or(|k| *s > k);
+            let fresh = |s: &f64| {
+                self.at - s < self.set.slow_start_duration.as_secs_f64() && u.started.is_none_or(|k| *s > k)
+            };
             if let Some(s) = started.filter(fresh) {
                 // It has restarted: what was held against it is void, and it is cold.
                 u.started = Some(s);
@@ -766,7 +780,7 @@
             let u = &mut self.ring[*j];
             if members > least && u.member && !all {
                 (u.member, members) = (false, members - 1);
-                self.out.push(Action::CloseIdle { upstream: u.id });
+                self.out.push(Action::CloseIdleConnections { upstream: u.id });
             }
         }
         self.turns = order;
--- a/crates/core/src/discovery_schedule.rs
+++ b/crates/core/src/discovery_schedule.rs
@@ -32,14 +32,14 @@
 
 impl DiscoverySchedule {
     /// The balancer starts at `now`: the first call falls due after a short random wait.
-    pub(crate) fn start(&mut self, now: f64, ask_every: Duration, rng: &mut Chance) {
-        let longest = (ask_every.as_secs_f64() * FIRST_WAIT_PART).min(FIRST_WAIT_MOST);
+    pub(crate) fn start(&mut self, now: f64, poll_interval: Duration, rng: &mut Chance) {
+        let longest = (poll_interval.as_secs_f64() * FIRST_WAIT_PART).min(FIRST_WAIT_MOST);
         self.call_at = now + longest * rng.f64();
     }
 
     /// A call failed or the watch broke.
-    pub(crate) fn failed(&mut self, now: f64, ask_every: Duration, rng: &mut Chance) {
-        let longest = (ask_every.as_secs_f64() * RETRY_WAIT_PART).min(RETRY_WAIT_MOST);
+    pub(crate) fn failed(&mut self, now: f64, poll_interval: Duration, rng: &mut Chance) {
+        let longest = (poll_interval.as_secs_f64() * RETRY_WAIT_PART).min(RETRY_WAIT_MOST);
         let shortest = longest / f64::from(1u32 << DOUBLINGS_MOST);
         let wait = shortest * f64::from(1u32 << self.failures.min(DOUBLINGS_MOST));
         self.failures += 1;
@@ -54,12 +54,12 @@
     }
 
     /// Whether a call is due; if so, the next one is planned in case that it has no answer.
-    pub(crate) fn is_due(&mut self, now: f64, ask_every: Duration, rng: &mut Chance) -> bool {
+    pub(crate) fn is_due(&mut self, now: f64, poll_interval: Duration, rng: &mut Chance) -> bool {
         if self.watching || now < self.call_at {
             return false;
         }
         let wait = UNANSWERED_PART + UNANSWERED_JITTER * rng.f64();
-        self.call_at = now + ask_every.as_secs_f64() * wait;
+        self.call_at = now + poll_interval.as_secs_f64() * wait;
         true
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,11 +11,11 @@
 //! let ms = Duration::from_millis;
 //!
 //! let settings = Settings {
-//!     classes: vec![Class {
-//!         aim: ms(200),
+//!     classes: vec![RequestClass {
+//!         latency_objective: ms(200),
 //!         deadline: ms(1000),
-//!         effect: Effect::Idempotent,
-//!         ..Class::default()
+//!         retry_safety: RetrySafety::Idempotent,
+//!         ..RequestClass::default()
 //!     }],
 //!     ..Settings::default()
 //! };
@@ -23,61 +23,70 @@
 //! let mut actions = Vec::new();
 //!
 //! // A balancer's life starts with the list of upstreams it knows.
-//! let listed = [Listed {
+//! let entries = [EndpointEntry {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
-//!     kind: KindId(0),
+//!     hardware: HardwareId(0),
 //!     cell: CellId(0),
 //!     availability: Availability::Ready,
 //!     weight: 1.0,
-//!     started: None,
+//!     started_at: None,
 //! }];
-//! balancer.handle(ms(0), Event::Fleet { scope: FleetScope::Cached, listed: &listed }, &mut actions);
+//! balancer.handle(ms(0), Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &entries }, &mut actions);
 //!
 //! // A request comes: it is sent on, or refused at once.
 //! actions.clear();
-//! let request = Event::Request {
+//! let request = Event::RequestArrived {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
 //!     tenant: TenantId(0),
 //!     time_left: ms(1000),
-//!     work_ms: None,
-//!     repeat: false,
+//!     expected_work_ms: None,
+//!     is_client_retry: false,
 //! };
 //! balancer.handle(ms(5), request, &mut actions);
-//! assert!(matches!(actions[..], [Action::Attempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
+//! assert!(matches!(actions[..], [Action::SendAttempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
 //!
 //! // The upstream has answered: the embedder passes the answer on, and tells.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     id: RequestId(1),
-//!     attempt: AttemptNo(0),
+//!     attempt: AttemptIndex(0),
 //!     upstream: UpstreamId(7),
 //!     outcome: Outcome::Ok,
 //!     latency: ms(30),
-//!     finished: true,
-//!     report: &[],
+//!     request_finished: true,
+//!     load_report: &[],
 //! };
 //! balancer.handle(ms(35), ended, &mut actions);
 //! assert!(actions.is_empty());
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! Two things an embedder must do: deliver the timers that [`Action::Timer`] asks for (the balancer's tick is
+//! Two things an embedder must do: deliver the timers that [`Action::SetTimer`] asks for (the balancer's tick is
 //! one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the latest, at the client's
 //! deadline. `Balancer` gives each request exactly one final answer on these terms.
 
+mod action;
 mod admission;
 mod choice;
 mod discovery_schedule;
-mod interface;
+mod event;
+mod ids;
 mod room;
+mod settings;
 mod stale_connections;
 mod state;
 mod stats;
 
+pub use action::{Action, RejectionReason};
 pub use choice::Balancer;
-pub use interface::*;
+pub use event::{Availability, EndpointEntry, Event, Outcome, UpdateScope};
+pub use ids::*;
+pub use settings::{
+    DeduplicationScope, LoadField, LoadReporting, Prices, RequestClass, RetrySafety, Settings, SettingsError,
+    SettingsField, Tenant, WeightKind,
+};
 
 /// README's embedding example, kept honest by the tests.
 #[doc = include_str!("../../../README.md")]
--- a/crates/core/src/room.rs
+++ b/crates/core/src/room.rs
@@ -4,7 +4,7 @@
 //! C_j is learned from completions and, where there are any, from reports of how busy the cores are; Q_j
 //! follows from C_j and the time that work may spend in the fleet.
 
-use crate::interface::Settings;
+use crate::settings::Settings;
 use crate::state::Upstream;
 
 /// Seconds over which completions are counted: a tick sees too few to go by.
@@ -111,7 +111,7 @@
         utilization: Option<f64>,
     ) {
         if let Some(utilization) = utilization {
-            let wanted = UTILIZATION_WANTED + UTILIZATION_MORE * settings.over_share_worth.min(0.5);
+            let wanted = UTILIZATION_WANTED + UTILIZATION_MORE * settings.over_quota_weight.min(0.5);
             // A rate once reached under load would go on admitting what turns a crowded upstream slow.
             let able = seen * (wanted / utilization.max(UTILIZATION_LEAST)).min(EXTRAPOLATED_MOST);
             self.rate = (self.rate + (tau / GAIN_OVER).min(1.0) * (able - self.rate)).min(able);
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,6 +1,6 @@
 //! What a balancer keeps: plain data, filled and read by `choice.rs`. Times are seconds; no decisions.
 
-use crate::interface::{CellId, UpstreamId, ZoneId};
+use crate::ids::{CellId, UpstreamId, ZoneId};
 
 /// An upstream as one balancer sees it.
 #[derive(Default)]
@@ -71,7 +71,7 @@
     pub(crate) cell: CellId,
     pub(crate) sent: f64,
     pub(crate) out: bool,
-    pub(crate) may_have_run: bool,
+    pub(crate) possibly_executed: bool,
     pub(crate) overdue: bool,
     pub(crate) idle: f64, // how long its connection had not been used
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -9,13 +9,13 @@
 fn settings(balancers: u32, allowances: &[f64]) -> Settings {
     Settings {
         balancers,
-        classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: allowances.iter().map(|a| Tenant { allowance_per_s: *a }).collect(),
+        classes: vec![class(400, 1000, RetrySafety::Idempotent)],
+        tenants: allowances.iter().map(|a| Tenant { quota_per_second: *a }).collect(),
         ..Settings::default()
     }
 }
 
-fn fleet(n: u64) -> Vec<Listed> {
+fn fleet(n: u64) -> Vec<EndpointEntry> {
     (1..=n).map(listed).collect()
 }
 
@@ -84,11 +84,11 @@
     assert_eq!(Balancer::new(Settings { balancers: 0, ..ok() }, 1).err(), Some(SettingsError::NoBalancers));
     for (s, name) in [
         (Settings { max_attempts: 0, ..ok() }, "max_attempts"),
-        (Settings { cold_from: f64::NAN, ..ok() }, "cold_from"),
-        (Settings { fall_multiple: f64::INFINITY, ..ok() }, "fall_multiple"),
-        (Settings { over_share_worth: -1.0, ..ok() }, "over_share_worth"),
-        (settings(1, &[f64::NAN]), "allowance_per_s"),
-        (Settings { classes: vec![class(0, 5, Effect::Idempotent)], ..ok() }, "class aim"),
+        (Settings { slow_start_floor: f64::NAN, ..ok() }, "slow_start_floor"),
+        (Settings { overload_factor: f64::INFINITY, ..ok() }, "overload_factor"),
+        (Settings { over_quota_weight: -1.0, ..ok() }, "over_quota_weight"),
+        (settings(1, &[f64::NAN]), "quota_per_second"),
+        (Settings { classes: vec![class(0, 5, RetrySafety::Idempotent)], ..ok() }, "class latency_objective"),
     ] {
         let text = error(s).expect(name);
         assert!(text.contains(name), "{text} names {name}");
@@ -101,7 +101,7 @@
 fn a_new_bucket_starts_full() {
     for (aim, tokens) in [(400, 11), (1000, 23), (3000, 23)] {
         let mut set = settings(1, &[20.0]);
-        set.classes.push(class(aim, 5000, Effect::AtMostOnce));
+        set.classes.push(class(aim, 5000, RetrySafety::AtMostOnce));
         let mut bench = Bench::new(set, &fleet(4));
         let sent = (0..40)
             .filter(|_| {
@@ -176,7 +176,7 @@
 fn demand_over_the_guarantees_is_admitted_until_the_cores_are_busy() {
     let admitted = |utilization: f32| {
         let mut set = settings(1, &[20.0]);
-        (set.reports, set.report_fields) = (Reports::Inline, vec![LoadField::Utilization]);
+        (set.load_reporting, set.load_report_fields) = (LoadReporting::Inline, vec![LoadField::Utilization]);
         let mut bench = Bench::new(set, &fleet(4));
         let (mut open, mut admitted) = (Vec::new(), 0);
         for step in 0..10_000 {
@@ -185,7 +185,7 @@
                 admitted += usize::from(step >= 9000);
                 open.push((bench.now, id));
                 let (outcome, latency, report) = (Outcome::Ok, ms(1), &[utilization][..]);
-                bench.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+                bench.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: report });
             }
             bench.run(ms(2));
             while open.first().is_some_and(|(at, _)| bench.now >= *at + ms(60)) {
@@ -205,7 +205,7 @@
 #[test]
 fn a_new_balancer_believes_its_first_reports() {
     let mut set = settings(1, &[20.0]);
-    (set.reports, set.report_fields) = (Reports::Inline, vec![LoadField::Utilization]);
+    (set.load_reporting, set.load_report_fields) = (LoadReporting::Inline, vec![LoadField::Utilization]);
     let mut bench = Bench::new(set, &fleet(4));
     let (mut open, mut admitted) = (Vec::new(), 0);
     for step in 0..4000 {
@@ -216,7 +216,7 @@
             // Few answers carry one here.
             if step % 40 == 0 {
                 let (outcome, latency, report) = (Outcome::Ok, ms(1), &[1.0][..]);
-                bench.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+                bench.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: report });
             }
         }
         bench.run(ms(2));
@@ -242,9 +242,9 @@
     const TIMED_OUT: Duration = Duration::from_millis(600);
     let set = |index| Settings {
         index,
-        reports: Reports::Inline,
-        report_fields: vec![LoadField::Utilization],
-        over_share_worth: 0.05,
+        load_reporting: LoadReporting::Inline,
+        load_report_fields: vec![LoadField::Utilization],
+        over_quota_weight: 0.05,
         hedging: false,
         ..settings(BALANCERS, &[400.0, 400.0])
     };
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -76,38 +76,38 @@
 
 /// The share of a warm one's work that the settings state for the newcomer.
 fn stated_share(set: &Settings, now: Duration) -> f64 {
-    let climb = (now.saturating_sub(BOOT).as_secs_f64() / set.cold_time.as_secs_f64()).min(1.0);
-    set.cold_from + (1.0 - set.cold_from) * climb
+    let climb = (now.saturating_sub(BOOT).as_secs_f64() / set.slow_start_duration.as_secs_f64()).min(1.0);
+    set.slow_start_floor + (1.0 - set.slow_start_floor) * climb
 }
 
 fn settings(balancers: u32, index: u32, each: f64, load: Load) -> Settings {
     let reported = load != Load::Unreported;
     Settings {
-        reports: if reported { Reports::Inline } else { Reports::Off },
-        report_fields: vec![LoadField::Utilization],
+        load_reporting: if reported { LoadReporting::Inline } else { LoadReporting::Off },
+        load_report_fields: vec![LoadField::Utilization],
         balancers,
         index,
-        classes: vec![class(400, 1000, Effect::AtMostOnce); 2],
-        tenants: vec![Tenant { allowance_per_s: each * f64::from(balancers) }],
-        cold_from: 0.15,
-        cold_time: ms(12_000),
-        fall_multiple: 2.0,
-        fall_time: ms(2000),
+        classes: vec![class(400, 1000, RetrySafety::AtMostOnce); 2],
+        tenants: vec![Tenant { quota_per_second: each * f64::from(balancers) }],
+        slow_start_floor: 0.15,
+        slow_start_duration: ms(12_000),
+        overload_factor: 2.0,
+        overload_duration: ms(2000),
         ..Settings::default()
     }
 }
 
 /// What the newcomer is sent by `balancers` that get `each` requests a second.
 fn sent_to_newcomer(balancers: u32, each: f64, then: Then, load: Load) -> Vec<Duration> {
-    let newcomer = Listed { started: Some(BOOT), ..listed(NEW.0) };
+    let newcomer = EndpointEntry { started_at: Some(BOOT), ..listed(NEW.0) };
     let before: Vec<_> = (1..=OLD).map(listed).collect();
     let gone = if then == Then::Crowd { OLD as usize / 2 } else { 0 };
     let after: Vec<_> = before[gone..].iter().cloned().chain([newcomer]).collect();
-    let start = |k: u32, seed: u64, known: &[Listed], now: Duration| {
+    let start = |k: u32, seed: u64, known: &[EndpointEntry], now: Duration| {
         let mut bench = Bench::new(settings(balancers, k, each, load), &[]);
         (bench.balancer, bench.now) = (Balancer::new(settings(balancers, k, each, load), seed).unwrap(), now);
         bench.timers.clear();
-        bench.tell(Event::Fleet { scope: FleetScope::Cached, listed: known });
+        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, entries: known });
         bench
     };
     let mut all: Vec<_> = (0..balancers).map(|k| start(k, u64::from(k), &before, ms(0))).collect();
@@ -127,7 +127,7 @@
         if now >= BOOT && !std::mem::replace(&mut told, true) {
             for b in &mut all {
                 b.run(now.saturating_sub(b.now));
-                b.tell(Event::Fleet { scope: FleetScope::Full, listed: &after });
+                b.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &after });
             }
         }
         while [Then::Restart, Then::Crowd].contains(&then) && now >= BOOT + restarts * ms(1000) {
@@ -177,9 +177,9 @@
                 let set = settings(balancers, 0, each, load);
                 for (k, from) in sent.iter().enumerate() {
                     let window =
-                        sent[k..].iter().take_while(|at| **at < *from + set.fall_time).count() as f64;
+                        sent[k..].iter().take_while(|at| **at < *from + set.overload_duration).count() as f64;
                     let can = full(balancers, each) * stated_share(&set, *from);
-                    let budget = set.fall_multiple * can * set.fall_time.as_secs_f64();
+                    let budget = set.overload_factor * can * set.overload_duration.as_secs_f64();
                     let most = budget + 2.0 * budget.sqrt() + 2.0;
                     assert!(window <= most, "{what}: {window} of {most:.0} in the window from {from:?}");
                 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -9,19 +9,24 @@
     Duration::from_millis(t)
 }
 
-pub fn class(aim: u64, deadline: u64, effect: Effect) -> Class {
-    Class { aim: ms(aim), deadline: ms(deadline), effect, ..Class::default() }
+pub fn class(aim: u64, deadline: u64, effect: RetrySafety) -> RequestClass {
+    RequestClass {
+        latency_objective: ms(aim),
+        deadline: ms(deadline),
+        retry_safety: effect,
+        ..RequestClass::default()
+    }
 }
 
-pub fn listed(id: u64) -> Listed {
-    Listed {
+pub fn listed(id: u64) -> EndpointEntry {
+    EndpointEntry {
         id: UpstreamId(id),
         zone: ZoneId(0),
-        kind: KindId(0),
+        hardware: HardwareId(0),
         cell: CellId(0),
         availability: Availability::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -39,7 +44,7 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, fleet: &[Listed]) -> Self {
+    pub fn new(settings: Settings, fleet: &[EndpointEntry]) -> Self {
         let mut bench = Self {
             balancer: Balancer::new(settings, 7).expect("settings permit decisions"),
             now: Duration::ZERO,
@@ -51,7 +56,7 @@
             list_calls: Vec::new(),
             next: 0,
         };
-        bench.tell(Event::Fleet { scope: FleetScope::Cached, listed: fleet });
+        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, entries: fleet });
         bench
     }
 
@@ -61,15 +66,15 @@
         self.balancer.handle(self.now, event, &mut self.actions);
         for action in &self.actions {
             match action {
-                Action::Timer { after, timer } => self.timers.push((self.now + *after, *timer)),
-                Action::Attempt { id, upstream, .. } => {
+                Action::SetTimer { after, timer } => self.timers.push((self.now + *after, *timer)),
+                Action::SendAttempt { id, upstream, .. } => {
                     self.sent.entry(*id).or_default().push((self.now, *upstream));
                 }
-                Action::Refuse { id, .. } => assert_eq!(self.answers.insert(*id, "refused"), None),
+                Action::Reject { id, .. } => assert_eq!(self.answers.insert(*id, "refused"), None),
                 Action::Fail { id } => assert_eq!(self.answers.insert(*id, "failed"), None),
-                Action::Probe { upstream } => self.probes.push(*upstream),
-                Action::WatchFleet | Action::FetchFleet => self.list_calls.push(self.now),
-                Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Log { .. } => {}
+                Action::CheckHealth { upstream } => self.probes.push(*upstream),
+                Action::WatchEndpoints | Action::FetchEndpoints => self.list_calls.push(self.now),
+                Action::CancelAttempt { .. } | Action::CloseIdleConnections { .. } | Action::Log { .. } => {}
             }
         }
     }
@@ -83,7 +88,7 @@
                 Some((due, timer)) if due <= end => {
                     self.timers.remove(0);
                     self.now = due;
-                    self.tell(Event::Timer { timer });
+                    self.tell(Event::TimerFired { timer });
                 }
                 _ => break,
             }
@@ -95,7 +100,14 @@
         self.next += 1;
         let id = RequestId(self.next);
         let (class, tenant) = (ClassId(class), TenantId(tenant));
-        self.tell(Event::Request { id, class, tenant, time_left: left, work_ms: None, repeat: false });
+        self.tell(Event::RequestArrived {
+            id,
+            class,
+            tenant,
+            time_left: left,
+            expected_work_ms: None,
+            is_client_retry: false,
+        });
         id
     }
 
@@ -117,12 +129,12 @@
         }
         self.tell(Event::AttemptEnded {
             id,
-            attempt: AttemptNo(attempt as u8),
+            attempt: AttemptIndex(attempt as u8),
             upstream,
             outcome,
             latency: self.now - sent,
-            finished,
-            report,
+            request_finished: finished,
+            load_report: report,
         });
     }
 
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -6,31 +6,31 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-fn settings(effect: Effect) -> Settings {
+fn settings(effect: RetrySafety) -> Settings {
     Settings { classes: vec![class(400, 1000, effect)], ..Settings::default() }
 }
 
-fn fleet(n: u64) -> Vec<Listed> {
+fn fleet(n: u64) -> Vec<EndpointEntry> {
     (1..=n).map(listed).collect()
 }
 
 #[test]
 fn a_second_copy_goes_out_when_the_first_is_overdue() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(3));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(3));
     let id = bench.request(0, 0, ms(1000));
     bench.run(ms(300));
     let (first, second) = (bench.at(id, 0).unwrap(), bench.at(id, 1).expect("a second copy"));
     assert_ne!(first, second);
     bench.ended(id, 1, Outcome::Ok);
-    assert!(bench.actions.contains(&Action::Cancel { id, attempt: AttemptNo(0) }));
+    assert!(bench.actions.contains(&Action::CancelAttempt { id, attempt: AttemptIndex(0) }));
 }
 
 /// Guards a crowded fleet against copies of what it is late with: each of many balancers sees one request late at a time,
 /// and all their second copies together would make more of them late.
 #[test]
 fn no_second_copy_goes_out_while_room_is_missing() {
-    let mut set = settings(Effect::Idempotent);
-    (set.balancers, set.tenants) = (300, vec![Tenant { allowance_per_s: 900.0 }]);
+    let mut set = settings(RetrySafety::Idempotent);
+    (set.balancers, set.tenants) = (300, vec![Tenant { quota_per_second: 900.0 }]);
     let mut bench = Bench::new(set, &fleet(6));
     let (mut sent, mut copies) = (0, 0);
     for k in 0..60 {
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_effect_that_must_not_run_twice_gets_no_second_try_once_it_may_have_run() {
-    let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(3));
+    let mut bench = Bench::new(settings(RetrySafety::AtMostOnce), &fleet(3));
     let id = bench.request(0, 0, ms(1000));
     bench.run(ms(600));
     assert_eq!(bench.at(id, 1), None, "no second copy");
@@ -68,7 +68,7 @@
 /// An upstream that fails at once holds nothing and so looks the least loaded: it must be ejected, for a while.
 #[test]
 fn one_that_fails_at_once_is_ejected_and_comes_back() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(4));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(4));
     let bad = UpstreamId(2);
     bench.traffic(100, ms(10), |u| Some(if u == bad { Outcome::Reset } else { Outcome::Ok }));
     let early = bench.attempts_at(bad);
@@ -83,7 +83,7 @@
 #[test]
 fn a_connection_broken_now_and_then_ejects_nobody() {
     let attempts = |broken: Outcome| {
-        let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(4));
+        let mut bench = Bench::new(settings(RetrySafety::AtMostOnce), &fleet(4));
         let count = std::cell::Cell::new(0);
         bench.traffic(2000, ms(5), |_| {
             count.set(count.get() + 1);
@@ -97,7 +97,7 @@
 
 #[test]
 fn one_that_never_answers_is_passed_over() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(4));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(4));
     let silent = UpstreamId(3);
     bench.traffic(400, ms(10), |u| (u != silent).then_some(Outcome::Ok));
     let got = bench.attempts_at(silent);
@@ -107,7 +107,7 @@
 /// When all seem ill, the fault is not theirs: with nothing better at hand requests still go out.
 #[test]
 fn all_ejected_is_no_empty_choice() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(4));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(4));
     bench.traffic(40, ms(10), |_| Some(Outcome::Reset));
     bench.run(ms(1500));
     let before = bench.sent.len();
@@ -118,7 +118,7 @@
 /// Failures everywhere must not multiply the load: further attempts stay within the retry budget.
 #[test]
 fn no_retry_storm() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(20));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(20));
     bench.traffic(500, ms(10), |_| Some(Outcome::Error));
     let (requests, attempts) = (bench.sent.len(), bench.sent.values().map(Vec::len).sum::<usize>());
     let most = requests + requests / 10 + 11;
@@ -129,8 +129,8 @@
 /// is a share of what it sees.
 #[test]
 fn what_many_balancers_save_up_is_a_share_of_the_load() {
-    let mut set = settings(Effect::Idempotent);
-    (set.balancers, set.tenants) = (300, vec![Tenant { allowance_per_s: 4800.0 }]);
+    let mut set = settings(RetrySafety::Idempotent);
+    (set.balancers, set.tenants) = (300, vec![Tenant { quota_per_second: 4800.0 }]);
     let mut bench = Bench::new(set, &fleet(12));
     bench.traffic(600, ms(62), |_| Some(Outcome::Ok));
     bench.sent.clear();
@@ -141,16 +141,16 @@
 
 #[test]
 fn nothing_new_goes_to_one_that_drains_or_is_gone() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(3));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(3));
     bench.traffic(20, ms(5), |_| Some(Outcome::Ok));
     let (mut drains, before) =
         (listed(1), [bench.attempts_at(UpstreamId(1)), bench.attempts_at(UpstreamId(2))]);
     drains.availability = Availability::Draining;
-    bench.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[drains] });
-    bench.tell(Event::Fleet { scope: FleetScope::Full, listed: &[listed(1), listed(3)] });
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[drains] });
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &[listed(1), listed(3)] });
     let mut drains = listed(1);
     drains.availability = Availability::Draining;
-    bench.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[drains] });
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[drains] });
     bench.traffic(60, ms(30), |_| Some(Outcome::Ok));
     assert_eq!(before, [bench.attempts_at(UpstreamId(1)), bench.attempts_at(UpstreamId(2))]);
     assert!(bench.attempts_at(UpstreamId(3)) > 20);
@@ -162,19 +162,19 @@
 #[test]
 fn only_an_upstream_gone_silent_has_its_attempt_called_back() {
     for silent in [false, true] {
-        let mut set = settings(Effect::Idempotent);
-        (set.hedging, set.classes[0].late_worth) = (false, 0.5);
+        let mut set = settings(RetrySafety::Idempotent);
+        (set.hedging, set.classes[0].late_priority_weight) = (false, 0.5);
         let mut bench = Bench::new(set, &fleet(2));
         // Long enough to learn that answers usually come at once.
         bench.traffic(800, ms(20), |_| Some(Outcome::Ok));
         let long = bench.request(0, 0, ms(1000));
-        let Some(&Action::Attempt { upstream, timeout: None, .. }) = bench.actions.last() else {
+        let Some(&Action::SendAttempt { upstream, timeout: None, .. }) = bench.actions.last() else {
             panic!("sent with no time-out of its own: {:?}", bench.actions)
         };
         let mut called_back = None;
         for k in 1..=30 {
             bench.run(ms(10));
-            if bench.actions.contains(&Action::Cancel { id: long, attempt: AttemptNo(0) }) {
+            if bench.actions.contains(&Action::CancelAttempt { id: long, attempt: AttemptIndex(0) }) {
                 called_back.get_or_insert(10 * k);
             }
             let other = bench.request(0, 0, ms(1000));
@@ -194,7 +194,7 @@
 /// Lets the `step`th 10 ms go on, in which a request's first attempt is not called back.
 fn run_uncancelled(bench: &mut Bench, id: RequestId, step: u32) {
     bench.run(ms(10));
-    let called_back = Action::Cancel { id, attempt: AttemptNo(0) };
+    let called_back = Action::CancelAttempt { id, attempt: AttemptIndex(0) };
     assert!(!bench.actions.contains(&called_back), "after {step}0 ms");
 }
 
@@ -202,7 +202,7 @@
 /// back what is merely slow: the work goes on, and is done again elsewhere. No answer for a moment is no silence there.
 #[test]
 fn an_upstream_that_is_seldom_asked_is_not_silent() {
-    let mut set = settings(Effect::Idempotent);
+    let mut set = settings(RetrySafety::Idempotent);
     set.hedging = false;
     let mut bench = Bench::new(set, &fleet(8));
     // An answer from each every 0.8 s.
@@ -225,7 +225,7 @@
 /// asked next to nothing yet.
 #[test]
 fn an_upstream_that_was_not_heard_of_yet_is_not_silent() {
-    let mut set = settings(Effect::Idempotent);
+    let mut set = settings(RetrySafety::Idempotent);
     set.hedging = false;
     let mut bench = Bench::new(set, &fleet(8));
     let slow = bench.request(0, 0, ms(1000));
@@ -240,7 +240,7 @@
 /// counts as longer than usual too, so that few are.
 #[test]
 fn what_was_called_back_counts_as_longer_than_usual() {
-    let mut set = settings(Effect::Idempotent);
+    let mut set = settings(RetrySafety::Idempotent);
     set.hedging = false;
     let mut bench = Bench::new(set, &fleet(8));
     let mut called_back = 0;
@@ -248,7 +248,7 @@
         let id = bench.request(0, 0, ms(1000));
         let mut attempt = 0;
         while bench.at(id, attempt).is_some() {
-            let cancel = Action::Cancel { id, attempt: AttemptNo(attempt as u8) };
+            let cancel = Action::CancelAttempt { id, attempt: AttemptIndex(attempt as u8) };
             let cancelled = (0..30).any(|_| {
                 bench.run(ms(10));
                 bench.actions.contains(&cancel)
@@ -265,20 +265,21 @@
 /// answered. What the settings say of the load stands for what is not seen.
 #[test]
 fn cold_upstreams_earn_turns_though_nothing_was_answered_for_long() {
-    let mut set = settings(Effect::AtMostOnce);
-    (set.cold_from, set.cold_time, set.tenants) = (0.2, ms(60_000), vec![Tenant { allowance_per_s: 20.0 }]);
-    (set.reports, set.report_fields) = (Reports::Inline, vec![LoadField::Utilization]);
+    let mut set = settings(RetrySafety::AtMostOnce);
+    (set.slow_start_floor, set.slow_start_duration, set.tenants) =
+        (0.2, ms(60_000), vec![Tenant { quota_per_second: 20.0 }]);
+    (set.load_reporting, set.load_report_fields) = (LoadReporting::Inline, vec![LoadField::Utilization]);
     let mut bench = Bench::new(set, &fleet(8));
     let started = Some(bench.now);
-    let restarted: Vec<_> = (1..=8).map(|id| Listed { started, ..listed(id) }).collect();
-    bench.tell(Event::Fleet { scope: FleetScope::Changes, listed: &restarted });
+    let restarted: Vec<_> = (1..=8).map(|id| EndpointEntry { started_at: started, ..listed(id) }).collect();
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &restarted });
     for _ in 0..40 {
         let id = bench.request(0, 0, ms(450));
         bench.run(ms(450));
         if let Some(upstream) = bench.at(id, 0) {
             bench.ended(id, 0, Outcome::TimedOut);
             let (outcome, latency, report) = (Outcome::Ok, ms(1), &[0.5][..]);
-            bench.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+            bench.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: report });
         }
     }
     // A third of what is stated: a fifth of the fleet's strength, grown to a half meanwhile, can do that.
@@ -291,10 +292,10 @@
 /// An empty fleet: a refusal, at once, and service again as soon as there is one.
 #[test]
 fn none_ready_is_refused_and_a_newcomer_serves() {
-    let mut bench = Bench::new(settings(Effect::AtMostOnce), &[]);
+    let mut bench = Bench::new(settings(RetrySafety::AtMostOnce), &[]);
     let id = bench.request(0, 0, ms(1000));
     assert_eq!(bench.answers.get(&id), Some(&"refused"));
-    bench.tell(Event::Fleet { scope: FleetScope::Full, listed: &fleet(1) });
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &fleet(1) });
     bench.run(ms(3000));
     bench.traffic(100, ms(100), |_| Some(Outcome::Ok));
     assert!(bench.attempts_at(UpstreamId(1)) > 0);
@@ -303,13 +304,13 @@
 /// The list service is down: calls repeat with growing waits, the list held stays in use.
 #[test]
 fn a_failing_list_service_is_asked_ever_more_seldom_and_the_old_list_stays() {
-    let settings = Settings { ask_for_fleet: true, ..settings(Effect::Idempotent) };
+    let settings = Settings { poll_endpoints: true, ..settings(RetrySafety::Idempotent) };
     let mut bench = Bench::new(settings, &fleet(2));
     for _ in 0..6000 {
         let calls = bench.list_calls.len();
         bench.run(ms(10));
         if bench.list_calls.len() > calls {
-            bench.tell(Event::Fleet { scope: FleetScope::Failed, listed: &[] });
+            bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
         }
     }
     let calls = bench.list_calls.len();
@@ -323,9 +324,9 @@
 /// that one which fails late, the wait after it and the next one together take that long.
 #[test]
 fn a_list_service_that_is_back_is_asked_in_time() {
-    for ask_every in [2_000, 10_000, 60_000] {
-        let ask_every = ms(ask_every);
-        let settings = Settings { ask_for_fleet: true, ask_every, ..settings(Effect::Idempotent) };
+    for poll_interval in [2_000, 10_000, 60_000] {
+        let poll_interval = ms(poll_interval);
+        let settings = Settings { poll_endpoints: true, poll_interval, ..settings(RetrySafety::Idempotent) };
         let mut bench = Bench::new(settings, &fleet(2));
         let mut begun = bench.now;
         for k in 0..40 {
@@ -333,32 +334,32 @@
                 bench.run(ms(10));
                 assert!(
                     bench.now - begun < ms(5_700),
-                    "call {k} after {ask_every:?}: {:?}",
+                    "call {k} after {poll_interval:?}: {:?}",
                     bench.now - begun
                 );
             }
             // Half of them fail at once, half after a head with no word behind it.
             begun = bench.now;
             bench.run(ms(if k % 2 == 0 { 2_500 } else { 1 }));
-            bench.tell(Event::Fleet { scope: FleetScope::Failed, listed: &[] });
+            bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
         }
     }
 }
 
-/// Reports full of nonsense neither panic nor poison what is known.
+/// Load reports full of nonsense neither panic nor poison what is known.
 #[test]
 fn bad_reports_are_passed_over() {
-    let mut s = settings(Effect::Idempotent);
-    s.reports = Reports::Inline;
-    s.report_fields = vec![LoadField::Utilization, LoadField::Queue];
+    let mut s = settings(RetrySafety::Idempotent);
+    s.load_reporting = LoadReporting::Inline;
+    s.load_report_fields = vec![LoadField::Utilization, LoadField::Queue];
     let mut bench = Bench::new(s, &fleet(2));
     for bad in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
         let (upstream, outcome, latency, report) = (UpstreamId(1), Outcome::Ok, ms(1), &[bad, bad][..]);
-        bench.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+        bench.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: report });
     }
     let mut odd = [listed(1), listed(2)];
     (odd[0].weight, odd[1].weight) = (f64::NAN, f64::INFINITY);
-    bench.tell(Event::Fleet { scope: FleetScope::Full, listed: &odd });
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &odd });
     bench.run(ms(10_000));
     bench.traffic(200, ms(30), |_| Some(Outcome::Ok));
     let served = bench.answers.values().filter(|a| **a == "served").count();
@@ -369,15 +370,23 @@
 /// Events for what is not known are passed over.
 #[test]
 fn strangers_are_passed_over() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(2));
-    let (id, attempt, upstream, latency) = (RequestId(99), AttemptNo(3), UpstreamId(42), ms(1));
+    let mut bench = Bench::new(settings(RetrySafety::Idempotent), &fleet(2));
+    let (id, attempt, upstream, latency) = (RequestId(99), AttemptIndex(3), UpstreamId(42), ms(1));
     let (outcome, report) = (Outcome::Ok, &[][..]);
     for event in [
-        Event::AttemptEnded { id, attempt, upstream, outcome, latency, finished: false, report },
-        Event::ProbeEnded { upstream, outcome, latency, report },
+        Event::AttemptEnded {
+            id,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_finished: false,
+            load_report: report,
+        },
+        Event::HealthCheckEnded { upstream, outcome, latency, load_report: report },
         Event::StreamStarted { id, attempt, latency },
-        Event::RequestGone { id },
-        Event::Timer { timer: TimerId(12345) },
+        Event::ClientDisconnected { id },
+        Event::TimerFired { timer: TimerId(12345) },
     ] {
         bench.tell(event);
         assert!(bench.actions.is_empty(), "{:?}", bench.actions);
@@ -387,8 +396,8 @@
 /// Silent for one class, well for the other: the class goes elsewhere, the other stays, and in time it is tried again.
 #[test]
 fn silence_for_one_class_moves_that_class_alone() {
-    let mut set = settings(Effect::AtMostOnce);
-    set.classes.push(class(400, 1000, Effect::AtMostOnce));
+    let mut set = settings(RetrySafety::AtMostOnce);
+    set.classes.push(class(400, 1000, RetrySafety::AtMostOnce));
     let mut bench = Bench::new(set, &fleet(4));
     let silent = UpstreamId(3);
     let mut sent = [0; 2];
@@ -422,8 +431,8 @@
 /// says nothing to any of them, two requests of each balancer find that out, not two of each class.
 #[test]
 fn a_jammed_upstream_is_left_alone_by_all_classes_at_once() {
-    let mut set = settings(Effect::AtMostOnce);
-    set.classes = vec![class(400, 1000, Effect::AtMostOnce); 4];
+    let mut set = settings(RetrySafety::AtMostOnce);
+    set.classes = vec![class(400, 1000, RetrySafety::AtMostOnce); 4];
     let mut bench = Bench::new(set, &fleet(8));
     let (jammed, mut out, mut before) = (UpstreamId(3), VecDeque::new(), 0);
     for k in 0..400 {
@@ -450,14 +459,14 @@
 /// connections are closed; sends soon after another need no new one.
 #[test]
 fn idle_connections_that_go_silent_are_closed_before_use() {
-    let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(2));
+    let mut bench = Bench::new(settings(RetrySafety::AtMostOnce), &fleet(2));
     let mut closed: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
     let mut used: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
     let (mut lost, mut late_lost) = (0, 0);
     for k in 0..300u64 {
         let id = bench.request(0, 0, ms(600));
         let Some(upstream) = bench.at(id, 0) else { continue };
-        if bench.actions.contains(&Action::CloseIdle { upstream }) {
+        if bench.actions.contains(&Action::CloseIdleConnections { upstream }) {
             closed.insert(upstream, bench.now);
         }
         let idle = used.get(&upstream).map_or(ms(0), |at| bench.now - *at);
@@ -475,8 +484,8 @@
 /// One that turns a class away at once holds nothing and so looks the emptiest: it must not draw the class.
 #[test]
 fn one_that_turns_a_class_away_at_once_does_not_draw_it() {
-    let mut set = settings(Effect::AtMostOnce);
-    set.classes.push(class(400, 1000, Effect::AtMostOnce));
+    let mut set = settings(RetrySafety::AtMostOnce);
+    set.classes.push(class(400, 1000, RetrySafety::AtMostOnce));
     let mut bench = Bench::new(set, &fleet(4));
     let (closed, mut turned, mut served) = (UpstreamId(2), 0, 0);
     for k in 0..600u64 {
@@ -503,9 +512,9 @@
 /// One balancer alone: an old report says nothing of others, as there are none. A stale crowd must not turn it away.
 #[test]
 fn alone_it_goes_by_its_own_requests_not_by_old_reports() {
-    let mut set = settings(Effect::Idempotent);
-    (set.reports, set.report_fields) = (Reports::Inline, vec![LoadField::InFlight]);
-    set.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
+    let mut set = settings(RetrySafety::Idempotent);
+    (set.load_reporting, set.load_report_fields) = (LoadReporting::Inline, vec![LoadField::InFlight]);
+    set.tenants = vec![Tenant { quota_per_second: 1000.0 }];
     let mut bench = Bench::new(set, &fleet(3));
     for k in 0..300 {
         let id = bench.request(0, 0, ms(1000));
@@ -514,7 +523,7 @@
         bench.ended(id, 0, Outcome::Ok);
         let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
         let report = [if k % 2 == 0 { 9.0 } else { 0.0 }];
-        bench.tell(Event::ProbeEnded { upstream, outcome, latency, report: &report });
+        bench.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: &report });
     }
     let got = bench.attempts_at(UpstreamId(1));
     assert!((85..=115).contains(&got), "{got} of 300 at the one with old reports");
@@ -524,12 +533,12 @@
 /// where its upstream answers others, and called back at its aim from a silent one. What still earns then stays.
 #[test]
 fn an_attempt_at_a_silent_upstream_ends_with_its_worth() {
-    for (late_worth, silent) in [(0.0, true), (0.0, false), (0.5, true)] {
-        let mut set = settings(Effect::AtMostOnce);
-        set.classes[0].late_worth = late_worth;
+    for (late_priority_weight, silent) in [(0.0, true), (0.0, false), (0.5, true)] {
+        let mut set = settings(RetrySafety::AtMostOnce);
+        set.classes[0].late_priority_weight = late_priority_weight;
         let mut bench = Bench::new(set, &fleet(1));
         let id = bench.request(0, 0, ms(1000));
-        let (mut ends, called_back) = (None, Action::Cancel { id, attempt: AttemptNo(0) });
+        let (mut ends, called_back) = (None, Action::CancelAttempt { id, attempt: AttemptIndex(0) });
         for k in 0..90 {
             bench.run(ms(10));
             if bench.actions.contains(&called_back) {
@@ -540,11 +549,11 @@
                 bench.ended(other, 0, Outcome::Ok);
             }
         }
-        let expected = (late_worth == 0.0 && silent).then_some(390..430);
+        let expected = (late_priority_weight == 0.0 && silent).then_some(390..430);
         assert_eq!(
             ends.is_some(),
             expected.is_some(),
-            "late worth {late_worth}, silent: {silent}, at {ends:?}"
+            "late worth {late_priority_weight}, silent: {silent}, at {ends:?}"
         );
         assert!(ends.is_none_or(|at| expected.is_some_and(|e| e.contains(&at))), "at {ends:?}");
         if ends.is_some() {
@@ -557,12 +566,12 @@
 /// Where nothing may be called back, an attempt's own time-out ends it with its worth.
 #[test]
 fn an_attempt_that_cannot_be_called_back_ends_with_its_worth() {
-    for (late_worth, ends) in [(0.0, Some(ms(392))), (0.5, None)] {
-        let mut set = settings(Effect::AtMostOnce);
-        (set.classes[0].late_worth, set.cancelling) = (late_worth, false);
+    for (late_priority_weight, ends) in [(0.0, Some(ms(392))), (0.5, None)] {
+        let mut set = settings(RetrySafety::AtMostOnce);
+        (set.classes[0].late_priority_weight, set.cancellation) = (late_priority_weight, false);
         let mut bench = Bench::new(set, &fleet(2));
         bench.request(0, 0, ms(1000));
-        let Some(Action::Attempt { timeout, .. }) = bench.actions.last() else { panic!("not sent") };
-        assert_eq!(*timeout, ends, "late worth {late_worth}");
+        let Some(Action::SendAttempt { timeout, .. }) = bench.actions.last() else { panic!("not sent") };
+        assert_eq!(*timeout, ends, "late worth {late_priority_weight}");
     }
 }
--- a/crates/core/tests/golden/action_hash.rs
+++ b/crates/core/tests/golden/action_hash.rs
@@ -1,6 +1,6 @@
 //! A hash over the actions of a balancer. Only numbers enter it, never the name of a type.
 
-use balancer_core::{Action, RefusalCause};
+use balancer_core::{Action, RejectionReason};
 use std::time::Duration;
 
 /// FNV-1a over the numbers of the actions.
@@ -19,43 +19,43 @@
 
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Attempt { id, upstream, timeout } => {
+            Action::SendAttempt { id, upstream, timeout } => {
                 self.number(1);
                 self.number(u64::from(id.0));
                 self.number(upstream.0);
                 self.duration(*timeout);
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 self.number(2);
                 self.number(u64::from(id.0));
                 self.number(u64::from(attempt.0));
             }
-            Action::Refuse { id, retry_after, cause } => {
+            Action::Reject { id, retry_after, reason } => {
                 self.number(3);
                 self.number(u64::from(id.0));
                 self.duration(*retry_after);
-                self.number(match cause {
-                    RefusalCause::NoToken => 1,
-                    RefusalCause::NoUpstream => 2,
-                    RefusalCause::NoFurtherAttempt => 3,
+                self.number(match reason {
+                    RejectionReason::OverQuota => 1,
+                    RejectionReason::NoUpstream => 2,
+                    RejectionReason::NoRetry => 3,
                 });
             }
             Action::Fail { id } => {
                 self.number(4);
                 self.number(u64::from(id.0));
             }
-            Action::Timer { after, timer } => {
+            Action::SetTimer { after, timer } => {
                 self.number(5);
                 self.duration(Some(*after));
                 self.number(u64::from(timer.0));
             }
-            Action::WatchFleet => self.number(6),
-            Action::FetchFleet => self.number(7),
-            Action::CloseIdle { upstream } => {
+            Action::WatchEndpoints => self.number(6),
+            Action::FetchEndpoints => self.number(7),
+            Action::CloseIdleConnections { upstream } => {
                 self.number(8);
                 self.number(upstream.0);
             }
-            Action::Probe { upstream } => {
+            Action::CheckHealth { upstream } => {
                 self.number(9);
                 self.number(upstream.0);
             }
--- a/crates/core/tests/golden/scenario.rs
+++ b/crates/core/tests/golden/scenario.rs
@@ -14,28 +14,32 @@
 
 pub fn scenarios() -> Vec<Scenario> {
     let ms = Duration::from_millis;
-    let tenants = |quotas: &[f64]| quotas.iter().map(|q| Tenant { allowance_per_s: *q }).collect::<Vec<_>>();
-    let deduplicated = |group| Effect::Deduplicated { group, ttl: ms(800) };
-    let class =
-        |aim, deadline, effect| Class { aim: ms(aim), deadline: ms(deadline), effect, ..Class::default() };
+    let tenants = |quotas: &[f64]| quotas.iter().map(|q| Tenant { quota_per_second: *q }).collect::<Vec<_>>();
+    let deduplicated = |scope| RetrySafety::Deduplicated { scope, ttl: ms(800) };
+    let class = |aim, deadline, effect| RequestClass {
+        latency_objective: ms(aim),
+        deadline: ms(deadline),
+        retry_safety: effect,
+        ..RequestClass::default()
+    };
     let classes = vec![
-        class(300, 1500, Effect::Idempotent),
-        class(500, 2500, Effect::AtMostOnce),
-        Class { late_worth: 0.4, ..class(250, 1200, deduplicated(DedupGroup::All)) },
-        class(400, 2000, deduplicated(DedupGroup::Zone)),
-        class(400, 2000, deduplicated(DedupGroup::Cell)),
-        Class { streamed: true, ..class(600, 3000, Effect::Idempotent) },
-        Class { aim_stretch: 1.5, ..class(900, 3000, Effect::Idempotent) },
+        class(300, 1500, RetrySafety::Idempotent),
+        class(500, 2500, RetrySafety::AtMostOnce),
+        RequestClass { late_priority_weight: 0.4, ..class(250, 1200, deduplicated(DeduplicationScope::All)) },
+        class(400, 2000, deduplicated(DeduplicationScope::Zone)),
+        class(400, 2000, deduplicated(DeduplicationScope::Cell)),
+        RequestClass { streamed: true, ..class(600, 3000, RetrySafety::Idempotent) },
+        RequestClass { latency_objective_stretch: 1.5, ..class(900, 3000, RetrySafety::Idempotent) },
     ];
     let base = Settings {
         balancers: 4,
         index: 1,
         classes,
         tenants: tenants(&[400.0, 200.0, 90.0, 0.0]),
-        over_share_worth: 0.2,
-        cold_time: ms(4000),
-        report_fields: vec![LoadField::InFlight, LoadField::Utilization, LoadField::Other],
-        reports: Reports::Inline,
+        over_quota_weight: 0.2,
+        slow_start_duration: ms(4000),
+        load_report_fields: vec![LoadField::InFlight, LoadField::Utilization, LoadField::Other],
+        load_reporting: LoadReporting::Inline,
         ..Settings::default()
     };
     let scenario = |name, upstreams, gap, settings| Scenario {
@@ -61,16 +65,16 @@
             "polled list",
             40,
             4000,
-            Settings { ask_for_fleet: true, ask_every: ms(3000), hedging: false, ..base.clone() },
+            Settings { poll_endpoints: true, poll_interval: ms(3000), hedging: false, ..base.clone() },
         ),
         scenario(
             "live weights",
             30,
             2000,
             Settings {
-                weights: Weights::Live,
+                weight_kind: WeightKind::Live,
                 prices: Prices { cross_zone: 0.06, ..Prices::default() },
-                report_fields: vec![LoadField::Queue, LoadField::ServiceMs],
+                load_report_fields: vec![LoadField::Queue, LoadField::ServiceMs],
                 ..base.clone()
             },
         ),
@@ -79,15 +83,15 @@
             20,
             4000,
             Settings {
-                cancelling: false,
-                weights: Weights::Off,
-                reports: Reports::Off,
-                report_fields: Vec::new(),
+                cancellation: false,
+                weight_kind: WeightKind::Ignored,
+                load_reporting: LoadReporting::Off,
+                load_report_fields: Vec::new(),
                 max_attempts: 2,
                 ..base.clone()
             },
         ),
         scenario("thin traffic", 60, 30_000, Settings { balancers: 24, index: 17, ..base.clone() }),
-        scenario("crowded", 8, 1000, Settings { fall_multiple: 1.5, cold_from: 0.1, ..base }),
+        scenario("crowded", 8, 1000, Settings { overload_factor: 1.5, slow_start_floor: 0.1, ..base }),
     ]
 }
--- a/crates/core/tests/golden/world.rs
+++ b/crates/core/tests/golden/world.rs
@@ -58,7 +58,7 @@
     pending: BTreeMap<u64, Pending>,
     due: BinaryHeap<Reverse<(Duration, u64)>>,
     sequence: u64,
-    entries: BTreeMap<UpstreamId, (Listed, Condition)>,
+    entries: BTreeMap<UpstreamId, (EndpointEntry, Condition)>,
     next_upstream: u64,
     requests: BTreeMap<RequestId, SentRequest>,
     next_request: u32,
@@ -88,7 +88,7 @@
             world.add_upstream(false);
         }
         let known = world.list();
-        world.tell(Event::Fleet { scope: FleetScope::Cached, listed: &known });
+        world.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &known });
         world.schedule(Duration::ZERO, Pending::Arrival);
         world.schedule(MEAN_CHANGE_GAP, Pending::Change);
         world
@@ -100,7 +100,7 @@
         self.due.push(Reverse((self.now + after, self.sequence)));
     }
 
-    fn list(&self) -> Vec<Listed> {
+    fn list(&self) -> Vec<EndpointEntry> {
         self.entries.values().map(|(entry, _)| entry.clone()).collect()
     }
 
@@ -112,7 +112,15 @@
         let weight = [0.5, 1.0, 1.0, 2.0, 0.0, f64::NAN][self.generator.below(6) as usize];
         let started = starts_now.then_some(self.now);
         let availability = Availability::Ready;
-        let entry = Listed { id, zone, kind: KindId(0), cell, availability, weight, started };
+        let entry = EndpointEntry {
+            id,
+            zone,
+            hardware: HardwareId(0),
+            cell,
+            availability,
+            weight,
+            started_at: started,
+        };
         self.entries.insert(id, (entry, Condition::Healthy));
         id
     }
@@ -142,17 +150,17 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Attempt { id, upstream, timeout } => self.attempt(id, upstream, timeout),
-            Action::Cancel { id, attempt } => {
+            Action::SendAttempt { id, upstream, timeout } => self.attempt(id, upstream, timeout),
+            Action::CancelAttempt { id, attempt } => {
                 self.note("cancel");
                 let outcome = Outcome::Cancelled;
                 self.schedule(Duration::ZERO, Pending::AttemptEnds { id, attempt: attempt.0, outcome });
             }
-            Action::Refuse { id, cause, .. } => {
-                self.note(match cause {
-                    RefusalCause::NoToken => "no token",
-                    RefusalCause::NoUpstream => "no upstream",
-                    RefusalCause::NoFurtherAttempt => "no further attempt",
+            Action::Reject { id, reason, .. } => {
+                self.note(match reason {
+                    RejectionReason::OverQuota => "no token",
+                    RejectionReason::NoUpstream => "no upstream",
+                    RejectionReason::NoRetry => "no further attempt",
                 });
                 self.requests.entry(id).or_default().answered = true;
             }
@@ -160,16 +168,16 @@
                 self.note("fail");
                 self.requests.entry(id).or_default().answered = true;
             }
-            Action::Timer { after, timer } => self.schedule(after, Pending::Timer(timer)),
-            Action::CloseIdle { .. } => self.note("close idle"),
-            Action::Probe { upstream } => {
+            Action::SetTimer { after, timer } => self.schedule(after, Pending::Timer(timer)),
+            Action::CloseIdleConnections { .. } => self.note("close idle"),
+            Action::CheckHealth { upstream } => {
                 self.schedule(Duration::from_millis(5), Pending::ProbeEnds { upstream });
             }
-            Action::WatchFleet => {
+            Action::WatchEndpoints => {
                 self.note("watch");
                 self.schedule(Duration::from_millis(30), Pending::ListArrives);
             }
-            Action::FetchFleet | Action::Log { .. } => {}
+            Action::FetchEndpoints | Action::Log { .. } => {}
         }
     }
 
@@ -211,7 +219,7 @@
             Pending::Arrival => self.arrival(),
             Pending::Change => self.change(),
             Pending::ListArrives => self.list_arrives(),
-            Pending::Timer(timer) => self.tell(Event::Timer { timer }),
+            Pending::Timer(timer) => self.tell(Event::TimerFired { timer }),
             Pending::AttemptEnds { id, attempt, outcome } => self.attempt_ends(id, attempt, outcome),
             Pending::StreamStarts { id, attempt } => {
                 let out = |a: &SentAttempt| a.out.then_some(a.sent);
@@ -219,18 +227,18 @@
                     self.requests.get(&id).and_then(|r| r.attempts.get(usize::from(attempt)).and_then(out));
                 if let Some(sent) = sent {
                     let latency = self.now - sent;
-                    self.tell(Event::StreamStarted { id, attempt: AttemptNo(attempt), latency });
+                    self.tell(Event::StreamStarted { id, attempt: AttemptIndex(attempt), latency });
                 }
             }
             Pending::ClientLeaves { id } => {
                 if self.requests.get_mut(&id).is_some_and(|r| !std::mem::replace(&mut r.answered, true)) {
-                    self.tell(Event::RequestGone { id });
+                    self.tell(Event::ClientDisconnected { id });
                 }
             }
             Pending::ProbeEnds { upstream } => {
                 let report = self.report();
                 let (outcome, latency) = (Outcome::Ok, Duration::from_millis(5));
-                self.tell(Event::ProbeEnded { upstream, outcome, latency, report: &report });
+                self.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: &report });
             }
         }
     }
@@ -246,10 +254,10 @@
         let deadline =
             self.scenario.settings.classes.get(usize::from(class.0)).map_or(LONGEST_ATTEMPT, |c| c.deadline);
         let time_left = deadline.mul_f64(0.25 * (1 + self.generator.below(4)) as f64);
-        let work_ms = self.generator.percent(30).then_some(12.5);
-        let repeat = self.generator.percent(5);
+        let expected_work_ms = self.generator.percent(30).then_some(12.5);
+        let is_client_retry = self.generator.percent(5);
         self.requests.entry(id).or_default();
-        self.tell(Event::Request { id, class, tenant, time_left, work_ms, repeat });
+        self.tell(Event::RequestArrived { id, class, tenant, time_left, expected_work_ms, is_client_retry });
         if self.generator.percent(4) {
             self.schedule(Duration::from_millis(60), Pending::ClientLeaves { id });
         }
@@ -261,7 +269,7 @@
     }
 
     fn report(&mut self) -> Vec<f32> {
-        if self.scenario.settings.report_fields.is_empty() || self.generator.percent(20) {
+        if self.scenario.settings.load_report_fields.is_empty() || self.generator.percent(20) {
             return Vec::new();
         }
         let held = self.generator.below(12) as f32;
@@ -279,7 +287,7 @@
         request.answered |= outcome == Outcome::Ok;
         let finished = request.answered;
         let report = self.report();
-        let attempt = AttemptNo(attempt);
+        let attempt = AttemptIndex(attempt);
         self.note(match outcome {
             Outcome::Ok => "ok",
             Outcome::Error => "error",
@@ -290,13 +298,21 @@
             Outcome::Cancelled => "cancelled",
             Outcome::NotSent => "not sent",
         });
-        self.tell(Event::AttemptEnded { id, attempt, upstream, outcome, latency, finished, report: &report });
+        self.tell(Event::AttemptEnded {
+            id,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_finished: finished,
+            load_report: &report,
+        });
     }
 
     /// Changes the list of upstreams, or the condition of some of them.
     fn change(&mut self) {
         match self.generator.below(12) {
-            0 => self.tell(Event::Fleet { scope: FleetScope::Failed, listed: &[] }),
+            0 => self.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] }),
             1 => self.list_arrives(),
             2 => {
                 // A whole list that leaves out what has gone, and names newcomers.
@@ -305,9 +321,9 @@
                 }
                 self.add_upstream(true);
                 let list = self.list();
-                self.tell(Event::Fleet { scope: FleetScope::Full, listed: &list });
+                self.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &list });
             }
-            3 => self.relist(Availability::Gone),
+            3 => self.relist(Availability::Removed),
             4 => self.relist(Availability::Draining),
             5 | 6 => {
                 let id = self.add_upstream(true);
@@ -323,16 +339,16 @@
     /// The answer to a call for the list: most often the whole of it, sometimes a failure.
     fn list_arrives(&mut self) {
         if self.generator.percent(30) {
-            self.tell(Event::Fleet { scope: FleetScope::Failed, listed: &[] });
+            self.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
             return;
         }
         let list = self.list();
-        self.tell(Event::Fleet { scope: FleetScope::Full, listed: &list });
+        self.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &list });
     }
 
     fn tell_change(&mut self, id: UpstreamId) {
         let entry = self.entries[&id].0.clone();
-        self.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[entry] });
+        self.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[entry] });
     }
 
     fn relist(&mut self, availability: Availability) {
@@ -341,7 +357,7 @@
             entry.availability = availability;
         }
         self.tell_change(id);
-        if availability == Availability::Gone {
+        if availability == Availability::Removed {
             self.entries.remove(&id);
         }
     }
@@ -350,7 +366,7 @@
         let Some(id) = self.any_upstream() else { return };
         let now = self.now;
         if let Some((entry, condition)) = self.entries.get_mut(&id) {
-            entry.started = Some(now);
+            entry.started_at = Some(now);
             entry.availability = Availability::Ready;
             *condition = Condition::Healthy;
         }
--- a/crates/core/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -6,8 +6,8 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: vec![Tenant { allowance_per_s: 50.0 }],
+        classes: vec![class(400, 1000, RetrySafety::Idempotent)],
+        tenants: vec![Tenant { quota_per_second: 50.0 }],
         ..Settings::default()
     }
 }
@@ -18,7 +18,7 @@
     let mut bench = Bench::new(settings(), &(1..=4).map(listed).collect::<Vec<_>>());
     for round in 1..200u64 {
         let fleet: Vec<_> = (4 * round..4 * round + 4).map(listed).collect();
-        bench.tell(Event::Fleet { scope: FleetScope::Full, listed: &fleet });
+        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &fleet });
         bench.run(ms(200));
         let id = bench.request(0, 0, ms(1000));
         if let Some(upstream) = bench.at(id, 0) {
@@ -44,7 +44,7 @@
 fn a_balancer_that_refuses_all_comes_back() {
     let mut s = settings();
     s.balancers = 500;
-    s.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
+    s.tenants = vec![Tenant { quota_per_second: 1000.0 }];
     let mut bench = Bench::new(s, &(1..=40).map(listed).collect::<Vec<_>>());
     let mut phase = |outcome: Outcome, latency: u64, rounds: usize| {
         let (mut tried, mut served) = (0, 0);
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -8,9 +8,12 @@
 const LINES_MOST: usize = 1200;
 const CHARACTERS_MOST: usize = 110;
 /// The files of the core that hold types and arithmetic alone.
-const NOT_DECIDING: [&str; 4] = [
-    "crates/core/src/interface.rs",
+const NOT_DECIDING: [&str; 7] = [
+    "crates/core/src/action.rs",
+    "crates/core/src/event.rs",
+    "crates/core/src/ids.rs",
     "crates/core/src/lib.rs",
+    "crates/core/src/settings.rs",
     "crates/core/src/state.rs",
     "crates/core/src/stats.rs",
 ];
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -41,7 +41,7 @@
     at: Duration,
     until: Duration,
     out: bool,
-    may_have_run: bool,
+    possibly_executed: bool,
 }
 
 #[derive(Debug)]
@@ -66,9 +66,9 @@
 }
 
 /// Zones and cells by id, so that a test can tell which upstreams share a memory of keys.
-fn entry(id: u64, availability: Availability, started: Option<Duration>) -> Listed {
+fn entry(id: u64, availability: Availability, started: Option<Duration>) -> EndpointEntry {
     let (zone, cell) = (ZoneId((id % 2) as u8), CellId((id % 4) as u16));
-    Listed { zone, cell, availability, started, ..listed(id) }
+    EndpointEntry { zone, cell, availability, started_at: started, ..listed(id) }
 }
 
 impl World {
@@ -100,19 +100,19 @@
     fn check(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::Timer { after, timer } => self.timers.push((now + after, timer)),
-            Action::Probe { upstream } => {
-                assert!(self.set.probing, "probes are not allowed");
+            Action::SetTimer { after, timer } => self.timers.push((now + after, timer)),
+            Action::CheckHealth { upstream } => {
+                assert!(self.set.health_checks, "probes are not allowed");
                 assert!(self.named.contains(&upstream));
                 self.probes.push(upstream);
             }
-            Action::WatchFleet | Action::FetchFleet => assert!(self.set.ask_for_fleet),
-            Action::Log { .. } | Action::CloseIdle { .. } => {}
-            Action::Cancel { id, attempt } => {
-                assert!(self.set.cancelling);
+            Action::WatchEndpoints | Action::FetchEndpoints => assert!(self.set.poll_endpoints),
+            Action::Log { .. } | Action::CloseIdleConnections { .. } => {}
+            Action::CancelAttempt { id, attempt } => {
+                assert!(self.set.cancellation);
                 assert!(usize::from(attempt.0) < self.requests[&id].attempts.len(), "a cancel of nothing");
             }
-            Action::Attempt { id, upstream, timeout } => {
+            Action::SendAttempt { id, upstream, timeout } => {
                 let r = self.requests.get_mut(&id).expect("a request that was given");
                 assert!(r.answered.is_none() && !r.gone, "an attempt after the end");
                 assert!(!r.streaming, "an attempt beside a stream");
@@ -122,32 +122,32 @@
                 if !self.set.hedging {
                     assert!(r.attempts.iter().all(|a| !a.out), "two attempts out together");
                 }
-                for first in r.attempts.iter().filter(|a| a.out || a.may_have_run) {
-                    match self.set.classes[r.class].effect {
-                        Effect::Idempotent => {}
-                        Effect::AtMostOnce => panic!("an effect may happen twice"),
-                        Effect::Deduplicated { group, ttl } => {
+                for first in r.attempts.iter().filter(|a| a.out || a.possibly_executed) {
+                    match self.set.classes[r.class].retry_safety {
+                        RetrySafety::Idempotent => {}
+                        RetrySafety::AtMostOnce => panic!("an effect may happen twice"),
+                        RetrySafety::Deduplicated { scope, ttl } => {
                             assert!(now <= first.at + ttl, "after the window");
-                            let same = match group {
-                                DedupGroup::All => true,
-                                DedupGroup::Zone => first.upstream.0 % 2 == upstream.0 % 2,
-                                DedupGroup::Cell => first.upstream.0 % 4 == upstream.0 % 4,
+                            let same = match scope {
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => first.upstream.0 % 2 == upstream.0 % 2,
+                                DeduplicationScope::Cell => first.upstream.0 % 4 == upstream.0 % 4,
                             };
-                            assert!(same, "outside the group that drops repeats");
+                            assert!(same, "outside the scope that drops repeats");
                         }
                     }
                 }
                 let until = timeout.map_or(r.deadline, |t| r.deadline.min(now + t));
-                r.attempts.push(Sent { upstream, at: now, until, out: true, may_have_run: false });
+                r.attempts.push(Sent { upstream, at: now, until, out: true, possibly_executed: false });
             }
-            Action::Refuse { id, .. } => {
-                let effect = self.requests.get(&id).map(|r| self.set.classes[r.class].effect);
+            Action::Reject { id, .. } => {
+                let effect = self.requests.get(&id).map(|r| self.set.classes[r.class].retry_safety);
                 let r = self.answer(id);
-                let ran = r.attempts.iter().any(|a| a.out || a.may_have_run);
+                let ran = r.attempts.iter().any(|a| a.out || a.possibly_executed);
                 let harmless = match effect.expect("a request that was given") {
-                    Effect::Idempotent => true,
-                    Effect::AtMostOnce => !ran,
-                    Effect::Deduplicated { group, .. } => group == DedupGroup::All || !ran,
+                    RetrySafety::Idempotent => true,
+                    RetrySafety::AtMostOnce => !ran,
+                    RetrySafety::Deduplicated { scope, .. } => scope == DeduplicationScope::All || !ran,
                 };
                 assert!(harmless, "a refusal of what may have run");
             }
@@ -170,21 +170,21 @@
         let r = self.requests.get_mut(&id).unwrap();
         let a = &mut r.attempts[attempt];
         a.out = false;
-        a.may_have_run = !outcome.never_ran();
+        a.possibly_executed = !outcome.proves_not_executed();
         let (upstream, latency) = (a.upstream, now - a.at);
         if r.answered.is_none() && !r.gone && (outcome == Outcome::Ok || r.streaming) {
             (r.answered, r.streaming) = (Some(now), false);
         }
         let finished = r.answered.is_some() || r.gone;
-        let attempt = AttemptNo(attempt as u8);
+        let attempt = AttemptIndex(attempt as u8);
         self.tell(Event::AttemptEnded {
             id,
             attempt,
             upstream,
             outcome,
             latency,
-            finished,
-            report: &[report],
+            request_finished: finished,
+            load_report: &[report],
         });
     }
 
@@ -212,7 +212,7 @@
             self.timers = rest;
             let due: Vec<(Duration, TimerId)> = due;
             for (_, timer) in due {
-                self.tell(Event::Timer { timer });
+                self.tell(Event::TimerFired { timer });
             }
         }
     }
@@ -226,13 +226,13 @@
                 let r = Held { class, deadline, attempts, answered, gone: false, streaming: false };
                 self.requests.insert(id, r);
                 let (class, tenant, time_left) = (ClassId(class as u16), TenantId(*tenant), ms(*left));
-                self.tell(Event::Request {
+                self.tell(Event::RequestArrived {
                     id,
                     class,
                     tenant,
                     time_left,
-                    work_ms: *work,
-                    repeat: n % 3 == 0,
+                    expected_work_ms: *work,
+                    is_client_retry: n % 3 == 0,
                 });
             }
             Op::End { pick, outcome, report } => {
@@ -255,7 +255,7 @@
                 let upstream = self.probes.remove(pick % self.probes.len());
                 let outcome = if *ok { Outcome::Ok } else { Outcome::ConnectFailed };
                 let (latency, report) = (ms(1), &[*held][..]);
-                self.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+                self.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: report });
             }
             Op::Stream { pick } => {
                 let streamed =
@@ -264,7 +264,8 @@
                 out.retain(|(id, _)| streamed(&self.requests[id]) && !self.requests[id].streaming);
                 let Some((id, k)) = out.get(pick % out.len().max(1)).copied() else { return };
                 self.requests.get_mut(&id).unwrap().streaming = true;
-                let (attempt, latency) = (AttemptNo(k as u8), self.now - self.requests[&id].attempts[k].at);
+                let (attempt, latency) =
+                    (AttemptIndex(k as u8), self.now - self.requests[&id].attempts[k].at);
                 self.tell(Event::StreamStarted { id, attempt, latency });
             }
             Op::Gone { pick } => {
@@ -273,29 +274,29 @@
                 let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
                 let r = self.requests.get_mut(&id).unwrap();
                 (r.gone, r.streaming) = (true, false);
-                self.tell(Event::RequestGone { id });
+                self.tell(Event::ClientDisconnected { id });
             }
             Op::List { scope, entries } => {
                 let scope = match scope {
-                    0 => FleetScope::Failed,
-                    1 => FleetScope::Full,
-                    2 => FleetScope::Cached,
-                    _ => FleetScope::Changes,
+                    0 => UpdateScope::Failed,
+                    1 => UpdateScope::Snapshot,
+                    2 => UpdateScope::Cached,
+                    _ => UpdateScope::Delta,
                 };
-                if scope == FleetScope::Failed {
-                    return self.tell(Event::Fleet { scope, listed: &[] });
+                if scope == UpdateScope::Failed {
+                    return self.tell(Event::EndpointUpdate { scope, entries: &[] });
                 }
                 let mut list = BTreeMap::new();
                 for (id, state, restarted) in entries {
                     let availability = match state {
                         0 => Availability::Draining,
-                        1 => Availability::Gone,
+                        1 => Availability::Removed,
                         _ => Availability::Ready,
                     };
                     let started = restarted.then_some(self.now.saturating_sub(ms(500)));
                     list.insert(*id, entry(*id, availability, started));
                 }
-                if scope != FleetScope::Changes {
+                if scope != UpdateScope::Delta {
                     self.fleet.clear();
                 }
                 for l in list.values() {
@@ -303,34 +304,34 @@
                     self.named.insert(l.id);
                 }
                 let list: Vec<_> = list.into_values().collect();
-                self.tell(Event::Fleet { scope, listed: &list });
+                self.tell(Event::EndpointUpdate { scope, entries: &list });
             }
             Op::Wait { ms } => self.wait(*ms),
         }
     }
 }
 
-fn settings(hedging: bool, sparse: bool, cancelling: bool, max_attempts: u8) -> Settings {
-    let keyed = |group, ttl| Effect::Deduplicated { group, ttl: ms(ttl) };
-    let streamed = Class { streamed: true, ..class(300, 900, Effect::Idempotent) };
+fn settings(hedging: bool, sparse: bool, cancellation: bool, max_attempts: u8) -> Settings {
+    let keyed = |scope, ttl| RetrySafety::Deduplicated { scope, ttl: ms(ttl) };
+    let streamed = RequestClass { streamed: true, ..class(300, 900, RetrySafety::Idempotent) };
     Settings {
         balancers: if sparse { 500 } else { 1 },
         classes: vec![
-            class(200, 600, Effect::Idempotent),
-            class(300, 1200, Effect::AtMostOnce),
-            class(150, 1500, keyed(DedupGroup::Cell, 700)),
-            class(150, 1500, keyed(DedupGroup::Zone, 360)),
-            class(150, 1500, keyed(DedupGroup::All, 60)),
+            class(200, 600, RetrySafety::Idempotent),
+            class(300, 1200, RetrySafety::AtMostOnce),
+            class(150, 1500, keyed(DeduplicationScope::Cell, 700)),
+            class(150, 1500, keyed(DeduplicationScope::Zone, 360)),
+            class(150, 1500, keyed(DeduplicationScope::All, 60)),
             streamed,
         ],
-        tenants: [900.0, 2000.0, 0.0].map(|a| Tenant { allowance_per_s: a }).to_vec(),
-        ask_for_fleet: sparse,
+        tenants: [900.0, 2000.0, 0.0].map(|a| Tenant { quota_per_second: a }).to_vec(),
+        poll_endpoints: sparse,
         hedging,
-        cancelling,
+        cancellation,
         max_attempts,
-        probing: sparse,
-        reports: if sparse { Reports::OnProbe } else { Reports::Inline },
-        report_fields: vec![LoadField::InFlight],
+        health_checks: sparse,
+        load_reporting: if sparse { LoadReporting::OnHealthCheck } else { LoadReporting::Inline },
+        load_report_fields: vec![LoadField::InFlight],
         ..Settings::default()
     }
 }
@@ -374,16 +375,16 @@
     for (sparse, balancers) in [(false, 20), (true, 400)] {
         let mut set = settings(true, sparse, true, 4);
         set.balancers = balancers;
-        set.ask_for_fleet = false;
-        (set.cold_from, set.cold_time) = (0.1, ms(20_000));
-        (set.fall_multiple, set.fall_time) = (3.0, ms(2000));
-        set.tenants = vec![Tenant { allowance_per_s: 700.0 }];
+        set.poll_endpoints = false;
+        (set.slow_start_floor, set.slow_start_duration) = (0.1, ms(20_000));
+        (set.overload_factor, set.overload_duration) = (3.0, ms(2000));
+        set.tenants = vec![Tenant { quota_per_second: 700.0 }];
         let mut all: Vec<_> = (0..balancers).map(|_| common::Bench::new(set.clone(), &old_fleet())).collect();
         for (k, b) in all.iter_mut().enumerate() {
             let set = Settings { index: k as u32, ..set.clone() };
             b.balancer = Balancer::new(set, k as u64).unwrap();
             b.timers.clear();
-            b.tell(Event::Fleet { scope: FleetScope::Cached, listed: &old_fleet() });
+            b.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &old_fleet() });
         }
         // Ten warm upstreams that can each do 100 a second, loaded to seven tenths; every answer takes 20 ms.
         let (rate, new) = (700u64, UpstreamId(99));
@@ -396,13 +397,13 @@
                 b.run(now.saturating_sub(b.now));
                 if step == 3 * rate {
                     let mut newcomer = listed(99);
-                    newcomer.started = Some(now);
-                    b.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[newcomer] });
+                    newcomer.started_at = Some(now);
+                    b.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[newcomer] });
                 }
                 for upstream in std::mem::take(&mut b.probes) {
                     let held = if upstream == new { 0.0 } else { 2.0 };
                     let (outcome, latency, report) = (Outcome::Ok, ms(1), &[held][..]);
-                    b.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+                    b.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: report });
                 }
             }
             let b = &mut all[k];
@@ -435,6 +436,6 @@
     }
 }
 
-fn old_fleet() -> Vec<Listed> {
+fn old_fleet() -> Vec<EndpointEntry> {
     (1..=10).map(listed).collect()
 }
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -11,8 +11,8 @@
     Settings {
         balancers: BALANCERS,
         index,
-        classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: vec![Tenant { allowance_per_s: 480.0 }],
+        classes: vec![class(400, 1000, RetrySafety::Idempotent)],
+        tenants: vec![Tenant { quota_per_second: 480.0 }],
         ..Settings::default()
     }
 }
@@ -53,14 +53,14 @@
     let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
     let mut bench = Bench::new(settings(17), &fleet);
     let before = used(&mut bench, 60);
-    let gone = |id: UpstreamId| Listed { availability: Availability::Gone, ..listed(id.0) };
+    let gone = |id: UpstreamId| EndpointEntry { availability: Availability::Removed, ..listed(id.0) };
     let (own, other): (Vec<_>, Vec<_>) = fleet.iter().map(|l| l.id).partition(|id| before.contains(id));
     for id in other.iter().take(20) {
-        bench.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[gone(*id)] });
+        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[gone(*id)] });
         bench.run(ms(50));
     }
     assert_eq!(used(&mut bench, 60), before, "what happens elsewhere moves nothing");
-    bench.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[gone(own[0]), gone(own[1])] });
+    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[gone(own[0]), gone(own[1])] });
     let after = used(&mut bench, 60);
     assert_eq!(after.len(), before.len());
     assert_eq!(after.intersection(&before).count(), before.len() - 2);
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::list::{ListError, ListReader, News};
 use crate::metrics::Metrics;
 use crate::seldom::Seldom;
-use balancer_core::{Availability, FleetScope};
+use balancer_core::{Availability, UpdateScope};
 use balancer_settings::Site;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -112,7 +112,7 @@
 impl Discovery {
     /// Discovery at an address; the site's names turn zones and kinds into numbers.
     pub fn new(address: SocketAddr, site: &Site, metrics: Rc<Metrics>) -> Self {
-        let asked = site.settings.ask_for_fleet;
+        let asked = site.settings.poll_endpoints;
         Self {
             address: Cell::new(address),
             reader: ListReader::new(site.names.clone()),
@@ -160,7 +160,7 @@
         Ok(list.news)
     }
 
-    /// The list from the configuration, as [`FleetScope::Cached`].
+    /// The list from the configuration, as [`UpdateScope::Cached`].
     pub fn known(&self, text: &str) -> News {
         let read = if text.is_empty() { Ok(News::failed()) } else { self.read(text.as_bytes()) };
         let entries = read.map_or_else(
@@ -170,7 +170,7 @@
             },
             |news| news.entries,
         );
-        News { scope: FleetScope::Cached, entries }
+        News { scope: UpdateScope::Cached, entries }
     }
 
     fn note_list(&self, news: &News, bytes: usize) {
@@ -180,7 +180,7 @@
             scope = ?news.scope,
             ready = in_state(Availability::Ready),
             draining = in_state(Availability::Draining),
-            gone = in_state(Availability::Gone),
+            gone = in_state(Availability::Removed),
             bytes,
             "list read"
         );
@@ -196,7 +196,7 @@
             let body = http_body_util::Limited::new(body, LIST_MOST);
             let collected = timeout(SILENCE_MOST, body.collect()).await?;
             let news = self.read(&collected.map_err(DiscoveryError::Body)?.to_bytes())?;
-            Ok::<_, DiscoveryError>(News { scope: FleetScope::Full, ..news })
+            Ok::<_, DiscoveryError>(News { scope: UpdateScope::Snapshot, ..news })
         };
         read.await.unwrap_or_else(|e| {
             self.odd.warn(|| format!("no list: {e}"));
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -11,8 +11,8 @@
 use crate::metrics::{AnswerKind, Metrics};
 use crate::upstream::{Ended, Outgoing, Served, Upstreams};
 use balancer_core::{
-    Action, AttemptNo, Balancer, ClassId, Event, FleetScope, Listed, Outcome, RefusalCause, RequestId,
-    TenantId, TimerId, UpstreamId,
+    Action, AttemptIndex, Balancer, ClassId, EndpointEntry, Event, Outcome, RejectionReason, RequestId,
+    TenantId, TimerId, UpdateScope, UpstreamId,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
@@ -64,7 +64,7 @@
         /// How long the client should stay away.
         retry_after: Option<Duration>,
         /// Why.
-        cause: RefusalCause,
+        cause: RejectionReason,
     },
     /// Nothing is promised.
     Failed,
@@ -89,7 +89,7 @@
     /// When the client stops waiting.
     pub deadline: Instant,
     /// Expected work in milliseconds, where the client says so.
-    pub work_ms: Option<f64>,
+    pub expected_work_ms: Option<f64>,
     /// The client says that it has tried this before.
     pub repeat: bool,
     /// What is passed on.
@@ -99,7 +99,7 @@
 enum Happening {
     Fleet(News),
     Asked(RequestId),
-    AttemptEnded(RequestId, AttemptNo, Ended),
+    AttemptEnded(RequestId, AttemptIndex, Ended),
     ProbeEnded(UpstreamId, Duration, Ended),
     Gone(RequestId),
     Timer(TimerId),
@@ -226,7 +226,7 @@
         match happening {
             Happening::Fleet(news) => {
                 let listed = self.fleet(&news);
-                let event = Event::Fleet { scope: news.scope, listed: &listed };
+                let event = Event::EndpointUpdate { scope: news.scope, entries: &listed };
                 core.balancer.handle(now, event, &mut actions);
             }
             Happening::Asked(id) => {
@@ -235,13 +235,13 @@
                 self.metrics.requests.inc();
                 let correlation_id = asked.outgoing.headers.get(CORRELATION_ID);
                 tracing::debug!(id = id.0, ?correlation_id, class = asked.class.0, "request");
-                let event = Event::Request {
+                let event = Event::RequestArrived {
                     id,
                     class: asked.class,
                     tenant: asked.tenant,
                     time_left: asked.deadline.saturating_duration_since(Instant::now()),
-                    work_ms: asked.work_ms,
-                    repeat: asked.repeat,
+                    expected_work_ms: asked.expected_work_ms,
+                    is_client_retry: asked.repeat,
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
@@ -268,15 +268,19 @@
                     upstream,
                     outcome: ended.outcome,
                     latency,
-                    finished,
-                    report: &ended.report,
+                    request_finished: finished,
+                    load_report: &ended.report,
                 };
                 core.balancer.handle(now, event, &mut actions);
                 self.forget_if_over(core, id);
             }
             Happening::ProbeEnded(upstream, latency, ended) => {
-                let event =
-                    Event::ProbeEnded { upstream, outcome: ended.outcome, latency, report: &ended.report };
+                let event = Event::HealthCheckEnded {
+                    upstream,
+                    outcome: ended.outcome,
+                    latency,
+                    load_report: &ended.report,
+                };
                 core.balancer.handle(now, event, &mut actions);
             }
             Happening::Gone(id) => {
@@ -284,11 +288,11 @@
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "the client has left");
                     self.metrics.answered(AnswerKind::ClientLeft);
-                    core.balancer.handle(now, Event::RequestGone { id }, &mut actions);
+                    core.balancer.handle(now, Event::ClientDisconnected { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
             }
-            Happening::Timer(timer) => core.balancer.handle(now, Event::Timer { timer }, &mut actions),
+            Happening::Timer(timer) => core.balancer.handle(now, Event::TimerFired { timer }, &mut actions),
         }
         for action in actions.drain(..) {
             self.carry_out(core, action);
@@ -297,21 +301,21 @@
     }
 
     /// Applies news to the connections and words them for the module.
-    fn fleet(&self, news: &News) -> Vec<Listed> {
-        if matches!(news.scope, FleetScope::Full | FleetScope::Cached) {
+    fn fleet(&self, news: &News) -> Vec<EndpointEntry> {
+        if matches!(news.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = news.entries.iter().map(|e| e.id).collect();
             self.upstreams.keep_only(|id| ids.contains(&id));
         }
         let listed = news.entries.iter().map(|entry| {
             self.upstreams.place(entry.id, &entry.place);
-            Listed {
+            EndpointEntry {
                 id: entry.id,
                 zone: entry.zone,
-                kind: entry.kind,
+                hardware: entry.kind,
                 cell: entry.cell,
                 availability: entry.place.availability,
                 weight: entry.weight,
-                started: self.clock.at_unix_ms(entry.place.boot_ms),
+                started_at: self.clock.at_unix_ms(entry.place.boot_ms),
             }
         });
         listed.collect()
@@ -319,8 +323,8 @@
 
     fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
-            Action::Attempt { id, upstream, timeout } => self.attempt(core, id, upstream, timeout),
-            Action::Cancel { id, attempt } => {
+            Action::SendAttempt { id, upstream, timeout } => self.attempt(core, id, upstream, timeout),
+            Action::CancelAttempt { id, attempt } => {
                 let out = core.requests.get(&id).and_then(|held| held.attempts.get(usize::from(attempt.0)));
                 if let Some(out) = out.filter(|a| a.out) {
                     out.task.abort();
@@ -328,27 +332,27 @@
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
-            Action::Refuse { id, retry_after, cause } => {
+            Action::Reject { id, retry_after, reason: cause } => {
                 self.answer(core, id, Answer::Refused { retry_after, cause });
             }
             Action::Fail { id } => self.answer(core, id, Answer::Failed),
-            Action::Timer { after, timer } => {
+            Action::SetTimer { after, timer } => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     sleep(after).await;
                     driver.happened(Happening::Timer(timer));
                 });
             }
-            Action::WatchFleet => self.watch(),
-            Action::FetchFleet => {
+            Action::WatchEndpoints => self.watch(),
+            Action::FetchEndpoints => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     let news = driver.discovery.fetch().await;
                     driver.happened(Happening::Fleet(news));
                 });
             }
-            Action::CloseIdle { upstream } => self.upstreams.close_idle(upstream),
-            Action::Probe { upstream } => {
+            Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
+            Action::CheckHealth { upstream } => {
                 let (driver, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
                     let ended = driver.upstreams.probe(upstream).await;
@@ -409,7 +413,7 @@
         let Some(held) = core.requests.get_mut(&id) else { return };
         let Some(reply) = &held.reply else { return };
         let mut awaited = reply.awaited.subscribe();
-        let (sent, no) = (Instant::now(), AttemptNo(held.attempts.len() as u8));
+        let (sent, no) = (Instant::now(), AttemptIndex(held.attempts.len() as u8));
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
         let (driver, asked) = (Rc::clone(self), Rc::clone(&held.asked));
         let mut cut_off = self.cut_off.subscribe();
@@ -493,7 +497,7 @@
         let (method, target) = (Method::POST, Uri::from_static(target));
         let outgoing = Outgoing { method, target, headers: HeaderMap::new(), body: Bytes::new() };
         let (class, tenant, deadline) = (ClassId(0), TenantId(0), Instant::now() + LONG);
-        Asked { class, tenant, deadline, work_ms: None, repeat: false, outgoing }
+        Asked { class, tenant, deadline, expected_work_ms: None, repeat: false, outgoing }
     }
 
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -512,7 +516,7 @@
         let discovery = Discovery::new(listener.local_addr().unwrap(), &site, Rc::default());
         let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
         let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
-        let asks = site.settings.ask_for_fleet;
+        let asks = site.settings.poll_endpoints;
         (Driver::start(balancer, upstreams, discovery, News::failed(), asks), listener)
     }
 
--- a/crates/proxy/src/list.rs
+++ b/crates/proxy/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::seldom::Seldom;
 use crate::upstream::Place;
-use balancer_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use balancer_core::{Availability, CellId, HardwareId, UpdateScope, UpstreamId, ZoneId};
 use balancer_settings::Names;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -16,7 +16,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: KindId,
+    pub kind: HardwareId,
     /// Its cell.
     pub cell: CellId,
     /// Its weight.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
     /// How complete it is.
-    pub scope: FleetScope,
+    pub scope: UpdateScope,
     /// The entries.
     pub entries: Vec<Entry>,
 }
@@ -37,7 +37,7 @@
 impl News {
     /// That a call failed or a watch ended.
     pub fn failed() -> Self {
-        Self { scope: FleetScope::Failed, entries: Vec::new() }
+        Self { scope: UpdateScope::Failed, entries: Vec::new() }
     }
 }
 
@@ -107,7 +107,7 @@
     Ok(Entry {
         id: stable_id(&identity.uid),
         zone: ZoneId(u8::MAX),
-        kind: KindId(u16::MAX),
+        kind: HardwareId(u16::MAX),
         cell: CellId(u16::MAX),
         weight: WEIGHT_UNTOLD,
         place: Place { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
@@ -138,7 +138,7 @@
     pub fn read(&self, text: &[u8]) -> Result<List, ListError> {
         let raw: RawList<'_> = serde_json::from_slice(text)?;
         let entries = raw.targets.iter().filter_map(|target| self.entry_or_draining(target.get())).collect();
-        let scope = if raw.all { FleetScope::Full } else { FleetScope::Changes };
+        let scope = if raw.all { UpdateScope::Snapshot } else { UpdateScope::Delta };
         Ok(List { version: raw.rev, news: News { scope, entries } })
     }
 
@@ -155,7 +155,7 @@
         let availability = match raw.state.as_str() {
             "Ready" => Availability::Ready,
             "Terminating" => Availability::Draining,
-            "Gone" => Availability::Gone,
+            "Gone" => Availability::Removed,
             _ => return Err(EntryError::State { uid: raw.uid, state: raw.state }),
         };
         let endpoint = raw.endpoint.and_then(|e| serde_json::from_str(e.get()).ok());
@@ -167,7 +167,7 @@
         Ok(Entry {
             id: stable_id(&raw.uid),
             zone: ZoneId(position(&self.names.zones, raw.az).map_or(u8::MAX, |z| z as u8)),
-            kind: KindId(position(&self.names.kinds, raw.model).map_or(u16::MAX, |k| k as u16)),
+            kind: HardwareId(position(&self.names.kinds, raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group.unwrap_or_default() as u16),
             weight: raw.capacity_hint.unwrap_or(WEIGHT_UNTOLD),
             place: Place { endpoint, availability, boot_ms: raw.boot_ms.unwrap_or_default().max(0.0) as u64 },
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -19,6 +19,7 @@
 mod upstream;
 
 use balancer_core::Balancer;
+use balancer_settings::InvalidSettings;
 use config::Config;
 use discovery::{Discovery, Progress};
 use driver::Driver;
@@ -85,7 +86,7 @@
 }
 
 async fn serve(config: Config) -> Result<(), Box<dyn Error>> {
-    let balancer = Balancer::new(config.site.settings.clone(), config.seed)?;
+    let balancer = Balancer::new(config.site.settings.clone(), config.seed).map_err(InvalidSettings)?;
     let term = SignalFlag::terminate()?;
     // Before anybody can know that this process is ready: unhandled, it would kill.
     let hangup = SignalFlag::hangup()?;
@@ -102,9 +103,9 @@
         limits = ?config.limits,
         "starting"
     );
-    let driver = Driver::start(balancer, upstreams, discovery, known, settings.ask_for_fleet);
+    let driver = Driver::start(balancer, upstreams, discovery, known, settings.poll_endpoints);
     // Where the list has to be asked for, discovery may be crowded by those that have just started, too.
-    if !settings.ask_for_fleet {
+    if !settings.poll_endpoints {
         wait_for_list(&driver).await;
     }
     // Nobody can connect before.
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of what this balancer does, registered in Prometheus' terms and logged while they change.
 
-use balancer_core::{Outcome, RefusalCause};
+use balancer_core::{Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, text::encode};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -30,12 +30,12 @@
     ClientLeft,
 }
 
-impl From<RefusalCause> for AnswerKind {
-    fn from(cause: RefusalCause) -> Self {
+impl From<RejectionReason> for AnswerKind {
+    fn from(cause: RejectionReason) -> Self {
         match cause {
-            RefusalCause::NoToken => Self::RefusedNoToken,
-            RefusalCause::NoUpstream => Self::RefusedNoUpstream,
-            RefusalCause::NoFurtherAttempt => Self::RefusedNoFurtherAttempt,
+            RejectionReason::OverQuota => Self::RefusedNoToken,
+            RejectionReason::NoUpstream => Self::RefusedNoUpstream,
+            RejectionReason::NoRetry => Self::RefusedNoFurtherAttempt,
         }
     }
 }
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -3,7 +3,7 @@
 use crate::driver::Asked;
 use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
 use crate::upstream::Outgoing;
-use balancer_core::{ClassId, Effect, TenantId};
+use balancer_core::{ClassId, RetrySafety, TenantId};
 use balancer_settings::Site;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -28,7 +28,7 @@
 
 struct Class {
     id: ClassId,
-    effect: Effect,
+    retry_safety: RetrySafety,
     deadline: Duration,
 }
 
@@ -53,7 +53,7 @@
     tenant: TenantId,
     method: Method,
     left: Duration,
-    work_ms: Option<f64>,
+    expected_work_ms: Option<f64>,
     repeat: bool,
     id: HeaderValue,
     parts: Parts,
@@ -71,8 +71,8 @@
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().cloned().zip(&site.settings.classes).enumerate();
         let classes = classes.map(|(k, (name, class))| {
-            let (effect, deadline) = (class.effect, class.deadline);
-            (name, Class { id: ClassId(k as u16), effect, deadline })
+            let id = ClassId(k as u16);
+            (name, Class { id, retry_safety: class.retry_safety, deadline: class.deadline })
         });
         let tenants = site.names.tenants.iter().cloned().enumerate();
         let tenants = tenants.map(|(k, name)| (name, TenantId(k as u32)));
@@ -95,7 +95,7 @@
         let Some(class) = self.classes.get(class) else {
             return Err(Unfit(StatusCode::NOT_FOUND, "unknown class"));
         };
-        let method = if class.effect == Effect::Idempotent { Method::GET } else { Method::POST };
+        let method = if class.retry_safety == RetrySafety::Idempotent { Method::GET } else { Method::POST };
         if parts.method != method {
             return Err(Unfit(StatusCode::METHOD_NOT_ALLOWED, "the class has another method"));
         }
@@ -104,7 +104,7 @@
             return Err(Unfit(BAD, "no readable X-Correlation-Id"));
         };
         let key = only(headers, &IDEMPOTENCY_KEY)?;
-        if matches!(class.effect, Effect::Deduplicated { .. }) && key.is_none() {
+        if matches!(class.retry_safety, RetrySafety::Deduplicated { .. }) && key.is_none() {
             return Err(Unfit(BAD, "no Idempotency-Key"));
         }
         let account = only(headers, &ACCOUNT)?.and_then(|name| name.to_str().ok());
@@ -119,7 +119,7 @@
         let Some(left) = left.and_then(|left| left.parse().ok()).map(Duration::from_millis) else {
             return Err(Unfit(BAD, "no readable X-Time-Left-Ms"));
         };
-        let work_ms = match only(headers, &WEIGHT_HINT)? {
+        let expected_work_ms = match only(headers, &WEIGHT_HINT)? {
             None => None,
             Some(hint) => match hint.to_str().ok().and_then(|h| h.trim().parse::<f64>().ok()) {
                 Some(us) if us.is_finite() && us >= 0.0 => Some(us / 1e3),
@@ -129,7 +129,7 @@
         let repeat = headers.get(REPEAT).is_some_and(|v| v.as_bytes() == b"1");
         // No client waits longer than its class lets it, all tries together.
         let left = left.min(class.deadline);
-        Ok(Head { class: class.id, tenant, method, left, work_ms, repeat, id, parts })
+        Ok(Head { class: class.id, tenant, method, left, expected_work_ms, repeat, id, parts })
     }
 
     /// Reads the rest of a request, which has to be whole by `whole_by`; from then on it is open.
@@ -150,7 +150,7 @@
             Ok(Err(_)) => return Err(Unfit(StatusCode::BAD_REQUEST, "the body broke off")),
             Err(_) => return Err(Unfit(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
         };
-        let Head { class, tenant, method, left, work_ms, repeat, id, parts } = head;
+        let Head { class, tenant, method, left, expected_work_ms, repeat, id, parts } = head;
         if method == Method::GET && !body.is_empty() {
             return Err(Unfit(StatusCode::BAD_REQUEST, "a GET with a body"));
         }
@@ -165,7 +165,7 @@
         let outgoing = Outgoing { method, target, headers, body };
         // A request's time counts from its last byte: a client that writes slowly waits no less.
         let deadline = Instant::now() + left.saturating_sub(ON_THE_WAY);
-        Ok((Asked { class, tenant, deadline, work_ms, repeat, outgoing }, open))
+        Ok((Asked { class, tenant, deadline, expected_work_ms, repeat, outgoing }, open))
     }
 }
 
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -8,7 +8,7 @@
 use crate::metrics::Metrics;
 use crate::pool::Pool;
 use crate::seldom::Seldom;
-use balancer_core::{Availability, LoadField, Outcome, Reports, Settings, UpstreamId};
+use balancer_core::{Availability, LoadField, LoadReporting, Outcome, Settings, UpstreamId};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Body;
@@ -100,8 +100,8 @@
     pool: Pool,
     long_answers: Room,
     connect_timeout: Duration,
-    reports: Reports,
-    report_fields: Vec<LoadField>,
+    reports: LoadReporting,
+    load_report_fields: Vec<LoadField>,
     odd_reports: Seldom,
     metrics: Rc<Metrics>,
 }
@@ -112,11 +112,11 @@
     pub fn new(settings: &Settings, most_open: usize, long_answers: usize, metrics: Rc<Metrics>) -> Self {
         Self {
             known: RefCell::default(),
-            pool: Pool::new(most_open, settings.conn_idle.mul_f64(IDLE_SHARE)),
+            pool: Pool::new(most_open, settings.connection_idle_timeout.mul_f64(IDLE_SHARE)),
             long_answers: Room(Arc::new(AtomicUsize::new(long_answers))),
             connect_timeout: settings.connect_timeout,
-            reports: settings.reports,
-            report_fields: settings.report_fields.clone(),
+            reports: settings.load_reporting,
+            load_report_fields: settings.load_report_fields.clone(),
             odd_reports: Seldom::default(),
             metrics,
         }
@@ -125,7 +125,7 @@
     /// Takes in what the list says of one.
     pub fn place(&self, id: UpstreamId, place: &Place) {
         let mut known = self.known.borrow_mut();
-        if place.availability == Availability::Gone {
+        if place.availability == Availability::Removed {
             if let Some(upstream) = known.remove(&id) {
                 upstream.ready.set(false);
             }
@@ -293,14 +293,15 @@
 
     /// Asks an upstream how it is.
     pub async fn probe(&self, id: UpstreamId) -> Ended {
-        let target = Uri::from_static(if self.reports == Reports::Off { "/health/live" } else { "/stats" });
+        let target =
+            Uri::from_static(if self.reports == LoadReporting::Off { "/health/live" } else { "/stats" });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
         let outgoing = Outgoing { method: Method::GET, target, headers, body: Bytes::new() };
         let (_waits, mut awaited) = watch::channel(());
         let mut ended = self.attempt(id, &outgoing, Instant::now() + PROBE_TIMEOUT, &mut awaited).await;
         if let Some(served) = &ended.served
-            && self.reports != Reports::Off
+            && self.reports != LoadReporting::Off
             && ended.report.is_empty()
         {
             ended.report = self.read_report(&served.body);
@@ -311,7 +312,7 @@
     fn answered(&self, response: Response<Bytes>) -> Ended {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
-        let load = headers.remove(LOAD).filter(|_| self.reports == Reports::Inline);
+        let load = headers.remove(LOAD).filter(|_| self.reports == LoadReporting::Inline);
         let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
         let unprocessed = headers.get(UNPROCESSED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match parts.status {
@@ -325,7 +326,8 @@
     }
 
     fn read_report(&self, text: &[u8]) -> Vec<f32> {
-        let read = std::str::from_utf8(text).ok().and_then(|t| headers::load_report(t, &self.report_fields));
+        let read =
+            std::str::from_utf8(text).ok().and_then(|t| headers::load_report(t, &self.load_report_fields));
         read.unwrap_or_else(|| {
             let shown = || String::from_utf8_lossy(&text[..text.len().min(80)]).into_owned();
             self.odd_reports.warn(|| format!("unreadable load report {:?}", shown()));
@@ -493,7 +495,8 @@
 
     async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, Place) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let settings = Settings { connect_timeout: LONG, conn_idle: LONG, ..Settings::default() };
+        let settings =
+            Settings { connect_timeout: LONG, connection_idle_timeout: LONG, ..Settings::default() };
         let upstreams = Rc::new(Upstreams::new(&settings, most_open, 4 * BODY_MOST, Rc::default()));
         let endpoint = Some(listener.local_addr().unwrap());
         let place = Place { endpoint, availability: Availability::Ready, boot_ms: 0 };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,9 +4,11 @@
 //! Keys that are not known are skipped; keys that are missing take the values of `Settings::default()`.
 
 use balancer_core::{
-    Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId,
+    DeduplicationScope, LoadField, LoadReporting, Prices, RequestClass, RetrySafety, Settings, SettingsError,
+    SettingsField, Tenant, WeightKind, ZoneId,
 };
 use serde::Deserialize;
+use std::fmt;
 use std::time::Duration;
 
 #[derive(Deserialize)]
@@ -140,6 +142,46 @@
     pub kinds: Vec<String>,
 }
 
+/// A [`SettingsError`] whose message names the value as the settings object does.
+#[derive(Debug)]
+pub struct InvalidSettings(pub SettingsError);
+
+impl fmt::Display for InvalidSettings {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.0 {
+            SettingsError::OutOfRange(field) => {
+                write!(f, "settings: {} is out of range", name_in_settings_object(*field))
+            }
+            error => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for InvalidSettings {}
+
+fn name_in_settings_object(field: SettingsField) -> &'static str {
+    match field {
+        SettingsField::MaxAttempts => "limits.try_limit",
+        SettingsField::Index => "me",
+        SettingsField::MaxStreams => "limits.max_streams",
+        SettingsField::OverQuotaWeight => "over_share_worth",
+        SettingsField::SlowStartFloor => "guarantees.cold_from",
+        SettingsField::OverloadFactor => "guarantees.fall_multiple",
+        SettingsField::ToleratedMissRatio => "goal.tail_miss",
+        SettingsField::CrossZonePrice => "prices.cross_zone",
+        SettingsField::ConnectionPrice => "prices.connection",
+        SettingsField::HandshakePrice => "prices.handshake",
+        SettingsField::LateFailurePrice => "prices.late_fail",
+        SettingsField::HealthCheckPrice => "prices.probe",
+        SettingsField::WastedWorkPrice => "prices.waste",
+        SettingsField::LatencyObjective => "class aim_ms",
+        SettingsField::PriorityWeight => "class worth",
+        SettingsField::LatePriorityWeight => "class late_worth",
+        SettingsField::LatencyObjectiveStretch => "class aim_stretch",
+        SettingsField::QuotaPerSecond => "allowance_per_s",
+    }
+}
+
 /// A time in milliseconds as a `Duration`; what is no such time becomes zero, what is too long the longest.
 pub fn ms(value: f64) -> Duration {
     if value.is_nan() || value <= 0.0 {
@@ -148,28 +190,28 @@
     Duration::try_from_secs_f64(value / 1e3).unwrap_or(Duration::MAX)
 }
 
-fn class(raw: &RawClass) -> Result<Class, String> {
+fn class(raw: &RawClass) -> Result<RequestClass, String> {
     let effect = match (raw.effect.as_str(), raw.dedup_scope.as_deref()) {
-        ("idempotent", _) => Effect::Idempotent,
-        ("at_most_once", _) => Effect::AtMostOnce,
-        ("deduplicated", scope) => Effect::Deduplicated {
-            group: match scope {
-                Some("all") => DedupGroup::All,
-                Some("zone") => DedupGroup::Zone,
-                Some("cell") => DedupGroup::Cell,
+        ("idempotent", _) => RetrySafety::Idempotent,
+        ("at_most_once", _) => RetrySafety::AtMostOnce,
+        ("deduplicated", scope) => RetrySafety::Deduplicated {
+            scope: match scope {
+                Some("all") => DeduplicationScope::All,
+                Some("zone") => DeduplicationScope::Zone,
+                Some("cell") => DeduplicationScope::Cell,
                 other => return Err(format!("unknown dedup_scope {other:?}")),
             },
             ttl: ms(raw.key_ttl_ms),
         },
         (other, _) => return Err(format!("unknown effect {other:?}")),
     };
-    Ok(Class {
-        aim: ms(raw.aim_ms),
-        aim_stretch: raw.aim_stretch,
+    Ok(RequestClass {
+        latency_objective: ms(raw.aim_ms),
+        latency_objective_stretch: raw.aim_stretch,
         deadline: ms(raw.hard_limit_ms),
-        worth: raw.worth,
-        late_worth: raw.late_worth,
-        effect,
+        priority_weight: raw.worth,
+        late_priority_weight: raw.late_worth,
+        retry_safety: effect,
         streamed: raw.streamed,
     })
 }
@@ -198,43 +240,43 @@
         index: raw.me,
         zone: ZoneId(raw.locality),
         classes: raw.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: raw.parties.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-        over_share_worth: raw.over_share_worth.unwrap_or(base.over_share_worth),
-        worth_by_work: raw.worth_by.as_deref() == Some("work"),
-        ask_for_fleet: raw.discovery.as_deref() == Some("subscribe"),
-        ask_every: time(rules.ask_every_ms, base.ask_every),
-        cold_from: rules.cold_from.unwrap_or(base.cold_from),
-        cold_time: time(rules.cold_ms, base.cold_time),
-        fall_multiple: rules.fall_multiple.unwrap_or(base.fall_multiple),
-        fall_time: time(rules.overload_for_ms, base.fall_time),
+        tenants: raw.parties.iter().map(|t| Tenant { quota_per_second: t.allowance_per_s }).collect(),
+        over_quota_weight: raw.over_share_worth.unwrap_or(base.over_quota_weight),
+        weight_by_work: raw.worth_by.as_deref() == Some("work"),
+        poll_endpoints: raw.discovery.as_deref() == Some("subscribe"),
+        poll_interval: time(rules.ask_every_ms, base.poll_interval),
+        slow_start_floor: rules.cold_from.unwrap_or(base.slow_start_floor),
+        slow_start_duration: time(rules.cold_ms, base.slow_start_duration),
+        overload_factor: rules.fall_multiple.unwrap_or(base.overload_factor),
+        overload_duration: time(rules.overload_for_ms, base.overload_duration),
         max_attempts: limits.try_limit.map_or(base.max_attempts, |n| n.min(250) as u8),
         hedging: limits.second_copies.unwrap_or(base.hedging),
-        cancelling: limits.cancelling.unwrap_or(base.cancelling),
-        probing: limits.may_probe.unwrap_or(base.probing),
+        cancellation: limits.cancelling.unwrap_or(base.cancellation),
+        health_checks: limits.may_probe.unwrap_or(base.health_checks),
         max_retry_after: time(limits.max_retry_after_ms, base.max_retry_after),
         connect_timeout: time(limits.connect_timeout_ms, base.connect_timeout),
-        conn_idle: time(limits.conn_idle_ms, base.conn_idle),
+        connection_idle_timeout: time(limits.conn_idle_ms, base.connection_idle_timeout),
         max_streams: limits.max_streams.unwrap_or(base.max_streams),
-        tail_miss: raw.goal.slow_end.filter(|w| *w > 0.0).and(raw.goal.tail_miss),
+        tolerated_miss_ratio: raw.goal.slow_end.filter(|w| *w > 0.0).and(raw.goal.tail_miss),
         cpu_per_request: ms(limits.cpu_us_per_request / 1e3),
-        weights: match raw.weight_kind.as_deref() {
-            Some("live") => Weights::Live,
-            Some("nominal" | "rough") => Weights::Size,
-            _ => Weights::Off,
+        weight_kind: match raw.weight_kind.as_deref() {
+            Some("live") => WeightKind::Live,
+            Some("nominal" | "rough") => WeightKind::Size,
+            _ => WeightKind::Ignored,
         },
-        reports: match raw.telemetry.how.as_deref() {
-            Some("inline") => Reports::Inline,
-            Some("on_probe") => Reports::OnProbe,
-            _ => Reports::Off,
+        load_reporting: match raw.telemetry.how.as_deref() {
+            Some("inline") => LoadReporting::Inline,
+            Some("on_probe") => LoadReporting::OnHealthCheck,
+            _ => LoadReporting::Off,
         },
-        report_fields: raw.telemetry.fields.iter().map(|name| load_field(name)).collect(),
+        load_report_fields: raw.telemetry.fields.iter().map(|name| load_field(name)).collect(),
         prices: Prices {
             cross_zone: raw.prices.cross_zone,
             connection: raw.prices.connection,
             handshake: raw.prices.handshake,
-            late_fail: raw.prices.late_fail,
-            probe: raw.prices.probe,
-            waste: raw.prices.waste,
+            late_failure: raw.prices.late_fail,
+            health_check: raw.prices.probe,
+            wasted_work: raw.prices.waste,
         },
     };
     let names = Names {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,7 +5,8 @@
 
 mod wire;
 
-use balancer_core::{Action, Balancer, Event, FleetScope, Listed};
+use balancer_core::{Action, Balancer, EndpointEntry, Event, UpdateScope};
+use balancer_settings::InvalidSettings;
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -18,7 +19,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u32, Balancer>,
-    lists: HashMap<u32, Vec<Listed>>,
+    lists: HashMap<u32, Vec<EndpointEntry>>,
     actions: Vec<Action>,
     /// What the instances of this batch want done, in order.
     pending: Vec<(u32, Action)>,
@@ -38,7 +39,8 @@
             }
             Record::PowerOn { seed, settings } => {
                 let settings = balancer_settings::parse(settings).map_err(wrong)?.settings;
-                let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
+                let balancer =
+                    Balancer::new(settings, *seed).map_err(|e| wrong(InvalidSettings(e).to_string()))?;
                 self.instances.insert(instance, balancer);
                 self.pending.retain(|(owner, _)| *owner != instance);
                 return Ok(());
@@ -51,21 +53,21 @@
             }
             Record::Peer if self.instances.contains_key(&instance) => return Ok(()),
             Record::Peer => return Err(wrong(format!("instance {instance} was never started"))),
-            Record::Fleet { scope: FleetScope::Failed, .. } => {
-                Event::Fleet { scope: FleetScope::Failed, listed: &[] }
+            Record::Fleet { scope: UpdateScope::Failed, .. } => {
+                Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] }
             }
             Record::Fleet { scope, list } => {
                 let listed = self.lists.get(list);
                 let listed = listed.ok_or_else(|| wrong(format!("no list has number {list}")))?;
-                Event::Fleet { scope: *scope, listed }
+                Event::EndpointUpdate { scope: *scope, entries: listed }
             }
-            Record::Request { id, class, tenant, left, work, repeat } => Event::Request {
+            Record::Request { id, class, tenant, left, work, repeat } => Event::RequestArrived {
                 id: *id,
                 class: *class,
                 tenant: *tenant,
                 time_left: *left,
-                work_ms: *work,
-                repeat: *repeat,
+                expected_work_ms: *work,
+                is_client_retry: *repeat,
             },
             Record::Started { id, attempt, latency } => {
                 Event::StreamStarted { id: *id, attempt: *attempt, latency: *latency }
@@ -76,17 +78,17 @@
                 upstream: end.upstream,
                 outcome: end.outcome,
                 latency: end.latency,
-                finished: *finished,
-                report: &end.report,
+                request_finished: *finished,
+                load_report: &end.report,
             },
-            Record::Probed { end } => Event::ProbeEnded {
+            Record::Probed { end } => Event::HealthCheckEnded {
                 upstream: end.upstream,
                 outcome: end.outcome,
                 latency: end.latency,
-                report: &end.report,
+                load_report: &end.report,
             },
-            Record::Gone { id } => Event::RequestGone { id: *id },
-            Record::Timer { timer } => Event::Timer { timer: *timer },
+            Record::Gone { id } => Event::ClientDisconnected { id: *id },
+            Record::Timer { timer } => Event::TimerFired { timer: *timer },
         };
         let balancer = self.instances.get_mut(&instance);
         let balancer = balancer.ok_or_else(|| wrong(format!("instance {instance} was never started")))?;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's binary dialect: batches of events in, replies of actions out. No decisions.
 
 use balancer_core::{
-    Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome, RequestId,
-    TenantId, TimerId, UpstreamId, ZoneId,
+    Action, AttemptIndex, Availability, CellId, ClassId, EndpointEntry, HardwareId, Outcome, RequestId,
+    TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
 use balancer_settings::ms;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub enum Record {
     Directory {
         list: u32,
-        listed: Vec<Listed>,
+        listed: Vec<EndpointEntry>,
     },
     PowerOn {
         seed: u64,
@@ -27,7 +27,7 @@
     },
     Detach,
     Fleet {
-        scope: FleetScope,
+        scope: UpdateScope,
         list: u32,
     },
     Request {
@@ -40,12 +40,12 @@
     },
     Started {
         id: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         latency: Duration,
     },
     Ended {
         id: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         finished: bool,
         end: End,
     },
@@ -158,21 +158,21 @@
         })
     }
 
-    fn listed(&mut self) -> Result<Listed, WireError> {
+    fn listed(&mut self) -> Result<EndpointEntry, WireError> {
         let id = self.upstream()?;
         let zone = ZoneId(self.u8("zone")?);
-        let kind = KindId(self.u16("kind")?);
+        let kind = HardwareId(self.u16("kind")?);
         let cell = CellId(self.u16("cell")?);
         let at = self.at;
         let availability = match self.u8("availability")? {
-            0 => Availability::Gone,
+            0 => Availability::Removed,
             1 => Availability::Ready,
             2 => Availability::Draining,
             other => return Err(WireError { at, what: format!("unknown availability {other}") }),
         };
         let weight = f64::from(self.f32("weight")?);
         let started = Some(self.f64("start time")?).filter(|t| *t > 0.0).map(ms);
-        Ok(Listed { id, zone, kind, cell, availability, weight, started })
+        Ok(EndpointEntry { id, zone, hardware: kind, cell, availability, weight, started_at: started })
     }
 
     fn record(&mut self) -> Result<Located, WireError> {
@@ -202,7 +202,7 @@
             3 => {
                 let id = RequestId(self.u32("request")?);
                 self.upstream()?;
-                let attempt = AttemptNo(self.u8("attempt")?);
+                let attempt = AttemptIndex(self.u8("attempt")?);
                 Record::Started { id, attempt, latency: self.time("latency")? }
             }
             5 => {
@@ -223,10 +223,10 @@
             9 => {
                 let at = self.at;
                 let scope = match self.u8("scope")? {
-                    0 => FleetScope::Failed,
-                    1 => FleetScope::Full,
-                    2 => FleetScope::Cached,
-                    3 => FleetScope::Changes,
+                    0 => UpdateScope::Failed,
+                    1 => UpdateScope::Snapshot,
+                    2 => UpdateScope::Cached,
+                    3 => UpdateScope::Delta,
                     other => return Err(WireError { at, what: format!("unknown scope {other}") }),
                 };
                 self.u32("version")?;
@@ -234,7 +234,7 @@
             }
             10 => {
                 let id = RequestId(self.u32("request")?);
-                let attempt = AttemptNo(self.u8("attempt")?);
+                let attempt = AttemptIndex(self.u8("attempt")?);
                 let (upstream, outcome) = (self.upstream()?, self.outcome()?);
                 let (latency, finished) = (self.time("latency")?, self.u8("done flag")? != 0);
                 let end = End { upstream, outcome, latency, report: self.report()? };
@@ -287,18 +287,18 @@
 /// Adds one action to a reply begun with [`begin`].
 pub fn encode(reply: &mut Vec<u8>, instance: u32, action: &Action) {
     match action {
-        Action::Attempt { id, upstream, timeout } => {
+        Action::SendAttempt { id, upstream, timeout } => {
             head(reply, 72, instance);
             reply.extend(id.0.to_be_bytes());
             put_upstream(reply, *upstream);
             reply.extend(timeout.map_or(0f64.to_be_bytes(), to_ms));
         }
-        Action::Cancel { id, attempt } => {
+        Action::CancelAttempt { id, attempt } => {
             head(reply, 75, instance);
             reply.extend(id.0.to_be_bytes());
             reply.push(attempt.0);
         }
-        Action::Refuse { id, retry_after, .. } => {
+        Action::Reject { id, retry_after, .. } => {
             head(reply, 65, instance);
             reply.extend(id.0.to_be_bytes());
             reply.extend(retry_after.map_or(0f64.to_be_bytes(), to_ms));
@@ -307,21 +307,21 @@
             head(reply, 66, instance);
             reply.extend(id.0.to_be_bytes());
         }
-        Action::Timer { after, timer } => {
+        Action::SetTimer { after, timer } => {
             head(reply, 68, instance);
             reply.extend(to_ms(*after));
             reply.extend(timer.0.to_be_bytes());
         }
-        Action::WatchFleet => {
+        Action::WatchEndpoints => {
             head(reply, 73, instance);
             reply.push(1);
         }
-        Action::FetchFleet => head(reply, 71, instance),
-        Action::CloseIdle { upstream } => {
+        Action::FetchEndpoints => head(reply, 71, instance),
+        Action::CloseIdleConnections { upstream } => {
             head(reply, 76, instance);
             put_upstream(reply, *upstream);
         }
-        Action::Probe { upstream } => {
+        Action::CheckHealth { upstream } => {
             head(reply, 74, instance);
             put_upstream(reply, *upstream);
         }
