--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,11 +1,11 @@
 //! Discovery: the whole list when asked for it, and the watch on its changes.
 
-use crate::backoff::Backoff;
-use crate::connection::Connection;
-use crate::json_messages::{JsonMessages, Part, SplitError};
-use crate::list::{ListError, ListReader, News};
+use crate::discovery::backoff::Backoff;
+use crate::discovery::endpoint_list::{EndpointListError, EndpointListReader, WatchEvent};
+use crate::discovery::json_stream::{JsonStream, Part, SplitError};
 use crate::metrics::Metrics;
-use crate::seldom::Seldom;
+use crate::rate_limited_log::RateLimitedLog;
+use crate::upstream::connection::Connection;
 use balancer_core::{Availability, UpdateScope};
 use balancer_settings::Site;
 use bytes::Bytes;
@@ -30,7 +30,7 @@
 /// A watch has a line to say every 2 s. Without one for this long, its first included, it is dead, whatever its
 /// connection looks like. What it misses counts as told 6 s after it fell silent: there has to be time to find that
 /// out, to find the same of the next one, and for a third.
-const SILENCE_MOST: Duration = Duration::from_millis(2500);
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long a call may take at first to its answer's head, its connection included, where calls cost discovery work.
 const HEAD_WAIT_LEAST: Duration = Duration::from_millis(1000);
 /// How long it may take at the most. Where discovery is crowded a call that is given up has lost its turn.
@@ -55,7 +55,7 @@
 }
 
 /// An answer of discovery, whose body is still to be read, and the connection that it comes on.
-type Answer = (Connection, Incoming);
+type FinalResponse = (Connection, Incoming);
 
 /// How calls that are answered late are made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -69,14 +69,14 @@
 /// Where discovery is, and how far this balancer has followed it.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    reader: ListReader,
+    reader: EndpointListReader,
     /// The version of the list in hand; 0: none.
     rev: Cell<u64>,
     watch: RefCell<Option<AbortHandle>>,
     calls: Calls,
     head_wait: Cell<Backoff>,
     progress: watch::Sender<Progress>,
-    odd: Seldom,
+    odd: RateLimitedLog,
     metrics: Rc<Metrics>,
 }
 
@@ -106,7 +106,7 @@
     Split(#[from] SplitError),
     /// An object is no list.
     #[error("unreadable list: {0}")]
-    List(#[from] ListError),
+    EndpointList(#[from] EndpointListError),
 }
 
 impl Discovery {
@@ -115,13 +115,13 @@
         let asked = site.settings.poll_endpoints;
         Self {
             address: Cell::new(address),
-            reader: ListReader::new(site.names.clone()),
+            reader: EndpointListReader::new(site.names.clone()),
             rev: Cell::new(0),
             watch: RefCell::default(),
             calls: if asked { Calls::OneAtATime } else { Calls::Overlapping },
             head_wait: Cell::new(Backoff::new(HEAD_WAIT_LEAST, HEAD_WAIT_MOST)),
             progress: watch::Sender::new(Progress::Waiting),
-            odd: Seldom::default(),
+            odd: RateLimitedLog::default(),
             metrics,
         }
     }
@@ -153,7 +153,7 @@
     }
 
     /// Reads a list and takes its version for the one in hand.
-    fn read(&self, text: &[u8]) -> Result<News, ListError> {
+    fn read(&self, text: &[u8]) -> Result<WatchEvent, EndpointListError> {
         let list = self.reader.read(text)?;
         self.rev.set(list.version);
         self.note_list(&list.news, text.len());
@@ -161,8 +161,8 @@
     }
 
     /// The list from the configuration, as [`UpdateScope::Cached`].
-    pub fn known(&self, text: &str) -> News {
-        let read = if text.is_empty() { Ok(News::failed()) } else { self.read(text.as_bytes()) };
+    pub fn known(&self, text: &str) -> WatchEvent {
+        let read = if text.is_empty() { Ok(WatchEvent::failed()) } else { self.read(text.as_bytes()) };
         let entries = read.map_or_else(
             |e| {
                 tracing::warn!("the list known before the start is unreadable: {e}");
@@ -170,10 +170,10 @@
             },
             |news| news.entries,
         );
-        News { scope: UpdateScope::Cached, entries }
+        WatchEvent { scope: UpdateScope::Cached, entries }
     }
 
-    fn note_list(&self, news: &News, bytes: usize) {
+    fn note_list(&self, news: &WatchEvent, bytes: usize) {
         let in_state = |state| news.entries.iter().filter(|e| e.place.availability == state).count();
         tracing::info!(
             version = self.rev.get(),
@@ -190,17 +190,17 @@
     }
 
     /// Asks for the whole list.
-    pub async fn fetch(&self) -> News {
+    pub async fn fetch(&self) -> WatchEvent {
         let read = async {
             let (_connection, body) = self.call("/registry/instances").await?;
             let body = http_body_util::Limited::new(body, LIST_MOST);
-            let collected = timeout(SILENCE_MOST, body.collect()).await?;
+            let collected = timeout(WATCH_SILENCE_TIMEOUT, body.collect()).await?;
             let news = self.read(&collected.map_err(DiscoveryError::Body)?.to_bytes())?;
-            Ok::<_, DiscoveryError>(News { scope: UpdateScope::Snapshot, ..news })
+            Ok::<_, DiscoveryError>(WatchEvent { scope: UpdateScope::Snapshot, ..news })
         };
         read.await.unwrap_or_else(|e| {
             self.odd.warn(|| format!("no list: {e}"));
-            News::failed()
+            WatchEvent::failed()
         })
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Watches the list until the watch ends, and tells what comes.
-    pub async fn watch(&self, tell: impl FnMut(News)) {
+    pub async fn watch(&self, tell: impl FnMut(WatchEvent)) {
         let ended = self.follow(tell).await;
         self.metrics.discovery_failures.inc();
         match ended {
@@ -229,34 +229,34 @@
         }
     }
 
-    async fn follow(&self, mut tell: impl FnMut(News)) -> Result<(), DiscoveryError> {
+    async fn follow(&self, mut tell: impl FnMut(WatchEvent)) -> Result<(), DiscoveryError> {
         let target = format!("/registry/instances?stream=1&index={}", self.rev.get());
         let (_connection, mut body) = self.call(&target).await?;
         self.advance(Progress::Answering);
-        let mut messages = JsonMessages::new(LIST_MOST);
-        let mut last_word = Instant::now();
-        while let Some(frame) = timeout_at(last_word + SILENCE_MOST, body.frame()).await? {
+        let mut messages = JsonStream::new(LIST_MOST);
+        let mut last_message_at = Instant::now();
+        while let Some(frame) = timeout_at(last_message_at + WATCH_SILENCE_TIMEOUT, body.frame()).await? {
             let Ok(data) = frame?.into_data() else { continue };
             self.advance(Progress::Answering);
             let began_before = messages.is_within_object();
             messages.push(&data);
-            let heard = self.tell_whole(&mut messages, &mut tell).inspect_err(|_| {
+            let heard = self.deliver_complete_messages(&mut messages, &mut tell).inspect_err(|_| {
                 // What it said is missing now, a drain perhaps: the whole list is asked for again.
                 self.rev.set(0);
             })?;
             // The beginning of a list is a word too: a long one takes its time from there.
             if heard || (messages.is_within_object() && !began_before) {
-                last_word = Instant::now();
+                last_message_at = Instant::now();
             }
         }
         Ok(())
     }
 
     /// Tells all lists that are whole. Whether anything was heard: a list, or an empty line.
-    fn tell_whole(
+    fn deliver_complete_messages(
         &self,
-        messages: &mut JsonMessages,
-        tell: &mut impl FnMut(News),
+        messages: &mut JsonStream,
+        tell: &mut impl FnMut(WatchEvent),
     ) -> Result<bool, DiscoveryError> {
         let mut heard = false;
         while let Some(part) = messages.next_part()? {
@@ -270,7 +270,7 @@
     }
 
     /// Calls and waits for the answer's head.
-    async fn call(&self, target: &str) -> Result<Answer, DiscoveryError> {
+    async fn call(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
         match self.calls {
             Calls::OneAtATime => self.call_patiently(target).await,
             Calls::Overlapping => self.call_overlapping(target).await,
@@ -278,7 +278,7 @@
     }
 
     /// Makes one call. After one that was given up for lateness the next is given twice the time.
-    async fn call_patiently(&self, target: &str) -> Result<Answer, DiscoveryError> {
+    async fn call_patiently(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
         let mut head_wait = self.head_wait.get();
         let answered = timeout(head_wait.current(), self.ask(target)).await;
         match &answered {
@@ -292,7 +292,7 @@
 
     /// Makes a call, and another while it is late: whether discovery is late or never answers the first one can't be told.
     /// The first head that comes counts.
-    async fn call_overlapping(&self, target: &str) -> Result<Answer, DiscoveryError> {
+    async fn call_overlapping(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
         let mut calls = FuturesUnordered::new();
         loop {
             calls.push(timeout(OVERLAPPING_CALL_MOST, self.ask(target)));
@@ -312,7 +312,7 @@
         }
     }
 
-    async fn ask(&self, target: &str) -> Result<Answer, DiscoveryError> {
+    async fn ask(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
         let address = self.address.get();
         self.metrics.discovery_calls.inc();
         tracing::info!(%address, target, "call to discovery");
--- a/crates/proxy/src/list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams as discovery words it, read into what the balancer knows of each.
 
-use crate::seldom::Seldom;
-use crate::upstream::Place;
+use crate::rate_limited_log::RateLimitedLog;
+use crate::upstream::attempt::EndpointState;
 use balancer_core::{Availability, CellId, HardwareId, UpdateScope, UpstreamId, ZoneId};
 use balancer_settings::Names;
 use serde::Deserialize;
@@ -10,7 +10,7 @@
 
 /// An upstream as listed, for the library and for the connections.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct DiscoveredEndpoint {
     /// Its id, made of its uid alone: the same at every balancer, and wherever it listens.
     pub id: UpstreamId,
     /// Its zone.
@@ -22,19 +22,19 @@
     /// Its weight.
     pub weight: f64,
     /// Where it is, and how it stands.
-    pub place: Place,
+    pub place: EndpointState,
 }
 
 /// News of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct WatchEvent {
     /// How complete it is.
     pub scope: UpdateScope,
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<DiscoveredEndpoint>,
 }
 
-impl News {
+impl WatchEvent {
     /// That a call failed or a watch ended.
     pub fn failed() -> Self {
         Self { scope: UpdateScope::Failed, entries: Vec::new() }
@@ -42,17 +42,17 @@
 }
 
 /// A list, or changes of one, with its version.
-pub struct List {
+pub struct EndpointList {
     /// The version.
     pub version: u64,
     /// What it says.
-    pub news: News,
+    pub news: WatchEvent,
 }
 
 /// Why a text is no list.
 #[derive(Debug, Error)]
 #[error(transparent)]
-pub struct ListError(#[from] serde_json::Error);
+pub struct EndpointListError(#[from] serde_json::Error);
 
 /// Why an entry of a list can't be taken as it is.
 #[derive(Debug, Error)]
@@ -102,15 +102,15 @@
 }
 
 /// An upstream of which nothing more is known than that it may drain.
-fn unusable_entry(text: &str) -> Result<Entry, serde_json::Error> {
+fn unusable_entry(text: &str) -> Result<DiscoveredEndpoint, serde_json::Error> {
     let identity: RawIdentity = serde_json::from_str(text)?;
-    Ok(Entry {
+    Ok(DiscoveredEndpoint {
         id: stable_id(&identity.uid),
         zone: ZoneId(u8::MAX),
         kind: HardwareId(u16::MAX),
         cell: CellId(u16::MAX),
         weight: WEIGHT_UNTOLD,
-        place: Place { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
+        place: EndpointState { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
     })
 }
 
@@ -122,27 +122,27 @@
 }
 
 /// Reads lists.
-pub struct ListReader {
+pub struct EndpointListReader {
     names: Names,
-    odd: Seldom,
+    odd: RateLimitedLog,
 }
 
-impl ListReader {
+impl EndpointListReader {
     /// A reader that turns these names of zones and kinds into numbers.
     pub fn new(names: Names) -> Self {
-        Self { names, odd: Seldom::default() }
+        Self { names, odd: RateLimitedLog::default() }
     }
 
     /// Reads a list. Who can be told from an entry that is unreadable otherwise is taken to drain, so that
     /// nothing is sent there; any other such entry is skipped. A list that can't be read is an error.
-    pub fn read(&self, text: &[u8]) -> Result<List, ListError> {
+    pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
         let raw: RawList<'_> = serde_json::from_slice(text)?;
         let entries = raw.targets.iter().filter_map(|target| self.entry_or_draining(target.get())).collect();
         let scope = if raw.all { UpdateScope::Snapshot } else { UpdateScope::Delta };
-        Ok(List { version: raw.rev, news: News { scope, entries } })
+        Ok(EndpointList { version: raw.rev, news: WatchEvent { scope, entries } })
     }
 
-    fn entry_or_draining(&self, text: &str) -> Option<Entry> {
+    fn entry_or_draining(&self, text: &str) -> Option<DiscoveredEndpoint> {
         let entry = self.entry(text).or_else(|e| {
             self.odd.warn(|| format!("unreadable list entry: {e}"));
             unusable_entry(text)
@@ -150,7 +150,7 @@
         entry.ok()
     }
 
-    fn entry(&self, text: &str) -> Result<Entry, EntryError> {
+    fn entry(&self, text: &str) -> Result<DiscoveredEndpoint, EntryError> {
         let raw: RawEntry<'_> = serde_json::from_str(text)?;
         let availability = match raw.state.as_str() {
             "Ready" => Availability::Ready,
@@ -164,13 +164,17 @@
         }
         let position =
             |names: &[String], name: Option<String>| names.iter().position(|n| Some(n) == name.as_ref());
-        Ok(Entry {
+        Ok(DiscoveredEndpoint {
             id: stable_id(&raw.uid),
             zone: ZoneId(position(&self.names.zones, raw.az).map_or(u8::MAX, |z| z as u8)),
             kind: HardwareId(position(&self.names.kinds, raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group.unwrap_or_default() as u16),
             weight: raw.capacity_hint.unwrap_or(WEIGHT_UNTOLD),
-            place: Place { endpoint, availability, boot_ms: raw.boot_ms.unwrap_or_default().max(0.0) as u64 },
+            place: EndpointState {
+                endpoint,
+                availability,
+                boot_ms: raw.boot_ms.unwrap_or_default().max(0.0) as u64,
+            },
         })
     }
 }
--- a/crates/proxy/src/json_messages.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -48,14 +48,14 @@
 }
 
 /// The state of the split.
-pub struct JsonMessages {
+pub struct JsonStream {
     /// What has not been given out; with an open object it begins with that.
     pending: BytesMut,
     open: Option<OpenObject>,
     longest: usize,
 }
 
-impl JsonMessages {
+impl JsonStream {
     /// For objects of at most `longest` bytes.
     pub fn new(longest: usize) -> Self {
         Self { pending: BytesMut::new(), open: None, longest }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -34,20 +34,20 @@
 
 /// How far a connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum ClientState {
     /// Nothing of use has come on it yet.
     New,
     /// The head of a request is here, the rest of it is not.
     Reading,
     /// A request is owed its answer.
-    Held,
+    AwaitingResponse,
     /// The last request has its answer.
     Idle,
 }
 
 /// What is known of a client's connection.
 pub struct Client {
-    stand: Cell<Stand>,
+    stand: Cell<ClientState>,
     /// Whether a request of it was ever fit to be answered.
     useful: Cell<bool>,
     /// Since when nothing of use has come, or since the last answer.
@@ -73,7 +73,7 @@
     /// One that has just been accepted.
     pub fn new() -> Self {
         Self {
-            stand: Cell::new(Stand::New),
+            stand: Cell::new(ClientState::New),
             useful: Cell::new(false),
             since: Cell::new(Instant::now()),
             begun: Cell::new(None),
@@ -87,14 +87,18 @@
     }
 
     /// How far it has come.
-    pub fn stand(&self) -> Stand {
+    pub fn stand(&self) -> ClientState {
         self.stand.get()
     }
 
     /// A head has come. Returns when the request has to be whole.
     pub fn reads(&self) -> Instant {
         let begun = self.begun.take().unwrap_or_else(Instant::now);
-        let begun = if self.stand.replace(Stand::Reading) == Stand::New { self.since.get() } else { begun };
+        let begun = if self.stand.replace(ClientState::Reading) == ClientState::New {
+            self.since.get()
+        } else {
+            begun
+        };
         self.begun.set(Some(begun));
         begun + READ_MOST
     }
@@ -102,25 +106,25 @@
     /// The request is here whole and fit to be answered.
     pub fn holds(&self) {
         self.begun.set(None);
-        self.stand.set(Stand::Held);
+        self.stand.set(ClientState::AwaitingResponse);
     }
 
     /// The answer is made. A client that has only sent what is unfit stays as new as it was.
     pub fn answered(&self) {
         self.begun.set(None);
-        self.useful.set(self.useful.get() || self.stand.get() == Stand::Held);
+        self.useful.set(self.useful.get() || self.stand.get() == ClientState::AwaitingResponse);
         if self.useful.get() {
-            self.stand.set(Stand::Idle);
+            self.stand.set(ClientState::Idle);
             self.since.set(Instant::now());
         } else {
-            self.stand.set(Stand::New);
+            self.stand.set(ClientState::New);
         }
     }
 
     /// Whether a head names a length that hyper does not show: it drops `Content-Length` where there is
     /// `Transfer-Encoding` too, in either order. `shown` are those that it does show. Where in doubt, as
     /// with lines of an earlier body that look alike, they are taken for hidden.
-    pub fn hides_a_length(&self, shown: usize) -> bool {
+    pub fn has_conflicting_lengths(&self, shown: usize) -> bool {
         let accounted = self.accounted.get() + shown as u64;
         self.accounted.set(accounted);
         self.lengths.get() > accounted
@@ -129,12 +133,13 @@
     /// When it is to be closed, as things stand.
     fn due(&self) -> Option<Instant> {
         match (self.stand.get(), self.begun.get()) {
-            (Stand::New, _) => Some(self.since.get() + READ_MOST),
+            (ClientState::New, _) => Some(self.since.get() + READ_MOST),
             // A bit more: the answer says why.
-            (Stand::Reading, Some(begun)) => Some(begun + READ_MOST + PROMPT),
-            (Stand::Idle, Some(begun)) => Some(begun + READ_MOST),
-            (Stand::Idle, None) => Some(self.since.get() + IDLE_MOST),
-            (Stand::Held | Stand::Reading, None) | (Stand::Held, Some(_)) => None,
+            (ClientState::Reading, Some(begun)) => Some(begun + READ_MOST + PROMPT),
+            (ClientState::Idle, Some(begun)) => Some(begun + READ_MOST),
+            (ClientState::Idle, None) => Some(self.since.get() + IDLE_MOST),
+            (ClientState::AwaitingResponse | ClientState::Reading, None)
+            | (ClientState::AwaitingResponse, Some(_)) => None,
         }
     }
 
@@ -154,7 +159,7 @@
             }
             let look = now + LOOK_EVERY;
             let until = match due {
-                Some(due) if self.stand.get() == Stand::New => due,
+                Some(due) if self.stand.get() == ClientState::New => due,
                 due => due.map_or(look, |due| due.min(look)),
             };
             tokio::time::sleep_until(until).await;
@@ -169,23 +174,20 @@
         }
         let since = self.begun.get().unwrap_or_else(|| self.since.get());
         let age = now.saturating_duration_since(since);
-        let rank = match (self.stand.get(), self.begun.get()) {
-            (Stand::New | Stand::Reading, _) | (Stand::Idle, Some(_)) => {
-                if age > PROMPT {
-                    0
-                } else {
-                    2
+        let rank =
+            match (self.stand.get(), self.begun.get()) {
+                (ClientState::New | ClientState::Reading, _) | (ClientState::Idle, Some(_)) => {
+                    if age > PROMPT { 0 } else { 2 }
                 }
-            }
-            (Stand::Idle, None) => {
-                if age > SPARE {
-                    1
-                } else {
-                    3
+                (ClientState::Idle, None) => {
+                    if age > SPARE {
+                        1
+                    } else {
+                        3
+                    }
                 }
-            }
-            (Stand::Held, _) => return None,
-        };
+                (ClientState::AwaitingResponse, _) => return None,
+            };
         Some((rank, since))
     }
 
@@ -199,7 +201,7 @@
         if bytes.is_empty() {
             return;
         }
-        if self.stand.get() == Stand::Idle && self.begun.get().is_none() {
+        if self.stand.get() == ClientState::Idle && self.begun.get().is_none() {
             self.begun.set(Some(Instant::now()));
         }
         let mut matched = self.matched.get();
@@ -220,19 +222,19 @@
 }
 
 /// A client's stream, looked at as it is read.
-pub struct Inbound {
+pub struct ClientStream {
     stream: Rc<TcpStream>,
     client: Rc<Client>,
 }
 
-impl Inbound {
+impl ClientStream {
     /// The stream of this client.
     pub fn new(stream: Rc<TcpStream>, client: Rc<Client>) -> Self {
         Self { stream, client }
     }
 }
 
-impl AsyncRead for Inbound {
+impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut ahead = self.client.ahead.borrow_mut();
         if !ahead.is_empty() {
@@ -249,7 +251,7 @@
     }
 }
 
-impl AsyncWrite for Inbound {
+impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         socket_io::poll_write(&self.stream, cx, |stream| stream.try_write(buf))
     }
@@ -282,14 +284,14 @@
     loop {
         let Ok(ready) = stream.ready(Interest::READABLE).await else { return };
         let full = client.ahead.borrow().len() >= AHEAD_MOST;
-        if client.stand() == Stand::Held && !full {
+        if client.stand() == ClientState::AwaitingResponse && !full {
             match stream.try_read(&mut chunk) {
                 Ok(0) => return,
                 Ok(n) => client.ahead.borrow_mut().extend_from_slice(&chunk[..n]),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(_) => return,
             }
-        } else if client.stand() == Stand::Held && ready.is_read_closed() {
+        } else if client.stand() == ClientState::AwaitingResponse && ready.is_read_closed() {
             return;
         } else {
             // What lies there is for hyper to read, or for nobody as yet.
@@ -310,10 +312,10 @@
         for cut in 1..text.len() {
             let client = Client::new();
             text.chunks(cut).for_each(|chunk| client.came(chunk));
-            assert!(client.hides_a_length(0), "{cut}");
+            assert!(client.has_conflicting_lengths(0), "{cut}");
             let client = Client::new();
             text.chunks(cut).for_each(|chunk| client.came(chunk));
-            assert!(!client.hides_a_length(1), "{cut}");
+            assert!(!client.has_conflicting_lengths(1), "{cut}");
         }
     }
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,9 +1,9 @@
 //! The clients' side: accepts connections, reads requests, writes final answers.
 
-use crate::client::{Client, Inbound, Stand, left};
-use crate::driver::{Answer, Asked, Driver};
-use crate::requests::{OpenId, Requests, Unfit};
-use crate::seldom::Seldom;
+use crate::downstream::connection::{Client, ClientState, ClientStream, left};
+use crate::downstream::request::{OpenId, RequestError, Requests};
+use crate::driver::{Driver, FinalResponse, IncomingRequest};
+use crate::rate_limited_log::RateLimitedLog;
 use balancer_settings::Site;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -38,36 +38,36 @@
 
 /// How far the end of this process has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum LifecyclePhase {
     /// Not at all.
     Serving,
     /// Not ready any more. All else goes on for a moment: clients that keep their connections need no other
     /// balancer yet, and the one that is to take them may only just have started itself.
-    Leaving,
+    LameDuck,
     /// Nothing new is accepted; connections end between requests.
-    Closing,
+    Draining,
 }
 
 /// What clients reach.
 pub struct Server {
     driver: Rc<Driver>,
     requests: Requests,
-    phase: watch::Receiver<Phase>,
+    phase: watch::Receiver<LifecyclePhase>,
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
     count: Cell<u64>,
-    odd: Seldom,
+    odd: RateLimitedLog,
 }
 
 impl Server {
     /// A server that hands requests to `driver`.
-    pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<Phase>) -> Rc<Self> {
+    pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<LifecyclePhase>) -> Rc<Self> {
         Rc::new(Self {
             driver,
             requests: Requests::new(site),
             phase,
             clients: RefCell::default(),
             count: Cell::new(0),
-            odd: Seldom::default(),
+            odd: RateLimitedLog::default(),
         })
     }
 
@@ -79,7 +79,7 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                _ = phase.wait_for(|p| *p == Phase::Closing), if !closing => {
+                _ = phase.wait_for(|p| *p == LifecyclePhase::Draining), if !closing => {
                     closing = true;
                     continue;
                 }
@@ -100,7 +100,7 @@
                 if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
                     break place;
                 }
-                self.make_room();
+                self.evict_idle_client();
                 if let Ok(Ok(place)) = timeout(LINGER, Arc::clone(&places).acquire_owned()).await {
                     break place;
                 }
@@ -116,7 +116,7 @@
     }
 
     /// Ends the connection with which least is lost, for one that waits.
-    fn make_room(&self) {
+    fn evict_idle_client(&self) {
         let (now, clients) = (Instant::now(), self.clients.borrow());
         let worth = clients.values().filter_map(|client| Some((client.worth(now)?, client)));
         if let Some((_, client)) = worth.min_by_key(|(worth, _)| *worth) {
@@ -140,7 +140,7 @@
         // The head's time is the client's own affair, see `Client::overdue`.
         builder.header_read_timeout(None).max_buf_size(BUFFER);
         let stream = Rc::new(stream);
-        let inbound = Inbound::new(Rc::clone(&stream), Rc::clone(&client));
+        let inbound = ClientStream::new(Rc::clone(&stream), Rc::clone(&client));
         let connection = builder.serve_connection(TokioIo::new(inbound), service);
         tokio::pin!(connection);
         let served = async {
@@ -149,13 +149,13 @@
                 () = client.is_to_end() => match (catch_up(connection.as_mut()).await, client.stand()) {
                     (Poll::Ready(ended), _) => ended,
                     // Part of a request at most: nothing was taken.
-                    (Poll::Pending, Stand::New | Stand::Reading) => Ok(()),
-                    (Poll::Pending, Stand::Idle | Stand::Held) => {
+                    (Poll::Pending, ClientState::New | ClientState::Reading) => Ok(()),
+                    (Poll::Pending, ClientState::Idle | ClientState::AwaitingResponse) => {
                         connection.as_mut().graceful_shutdown();
                         finish(&client, connection).await
                     }
                 },
-                _ = phase.wait_for(|p| *p == Phase::Closing) => match catch_up(connection.as_mut()).await {
+                _ = phase.wait_for(|p| *p == LifecyclePhase::Draining) => match catch_up(connection.as_mut()).await {
                     Poll::Ready(ended) => ended,
                     Poll::Pending => {
                         connection.as_mut().graceful_shutdown();
@@ -180,7 +180,7 @@
         let response = match request.uri().path() {
             "/health/ready" | "/health/live" if request.body().is_end_stream() => {
                 client.holds();
-                let leaving = *self.phase.borrow() != Phase::Serving;
+                let leaving = *self.phase.borrow() != LifecyclePhase::Serving;
                 if leaving && request.uri().path() == "/health/ready" {
                     plain(StatusCode::SERVICE_UNAVAILABLE, "leaving")
                 } else {
@@ -188,8 +188,8 @@
                 }
             }
             _ => match self.read(client, request, whole_by).await {
-                Ok((asked, _open)) => worded(self.driver.ask(asked).answer().await),
-                Err(Unfit(status, why)) => plain(status, why),
+                Ok((asked, _open)) => render_response(self.driver.submit(asked).answer().await),
+                Err(RequestError(status, why)) => plain(status, why),
             },
         };
         client.answered();
@@ -202,9 +202,9 @@
         client: &Client,
         request: Request<Incoming>,
         whole_by: Instant,
-    ) -> Result<(Asked, OpenId), Unfit> {
+    ) -> Result<(IncomingRequest, OpenId), RequestError> {
         let (parts, body) = request.into_parts();
-        let head = self.requests.head(parts, |shown| client.hides_a_length(shown))?;
+        let head = self.requests.head(parts, |shown| client.has_conflicting_lengths(shown))?;
         let read = self.requests.rest(head, body, whole_by).await?;
         client.holds();
         Ok(read)
@@ -233,10 +233,10 @@
             return ended;
         }
         match client.stand() {
-            Stand::Held => {}
+            ClientState::AwaitingResponse => {}
             // Part of a request at most: nothing was taken.
-            Stand::New | Stand::Reading => return Ok(()),
-            Stand::Idle => {
+            ClientState::New | ClientState::Reading => return Ok(()),
+            ClientState::Idle => {
                 if answered.get_or_insert_with(Instant::now).elapsed() > ANSWER_MOST {
                     return Ok(());
                 }
@@ -252,14 +252,14 @@
 }
 
 /// The words for a final answer.
-fn worded(answer: Answer) -> Response<Full<Bytes>> {
+fn render_response(answer: FinalResponse) -> Response<Full<Bytes>> {
     match answer {
-        Answer::Served(served) => {
+        FinalResponse::Served(served) => {
             let mut response = Response::new(Full::new(served.body));
             *response.headers_mut() = served.headers;
             response
         }
-        Answer::Refused { retry_after, .. } => {
+        FinalResponse::Rejected { retry_after, .. } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let value = retry_after.and_then(|t| format!("{:.3}", t.as_secs_f64()).parse().ok());
             if let Some(value) = value {
@@ -267,16 +267,16 @@
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::discovery::Discovery;
-    use crate::list::News;
-    use crate::upstream::Upstreams;
+    use crate::discovery::client::Discovery;
+    use crate::discovery::endpoint_list::WatchEvent;
+    use crate::upstream::attempt::Upstreams;
     use balancer_core::Balancer;
     use std::net::SocketAddr;
     use std::pin::pin;
@@ -284,15 +284,15 @@
     use tokio::task::JoinHandle;
 
     /// A server in its leave with no upstreams: its address, its phase and its task.
-    async fn leaving_server() -> (SocketAddr, watch::Sender<Phase>, JoinHandle<()>) {
+    async fn leaving_server() -> (SocketAddr, watch::Sender<LifecyclePhase>, JoinHandle<()>) {
         let site = balancer_settings::parse(r#"{"classes":[{"name":"look"}]}"#).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
         let discovery = Discovery::new(address, &site, Rc::default());
         let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
-        let driver = Driver::start(balancer, upstreams, discovery, News::failed(), true);
-        let (phase, phases) = watch::channel(Phase::Leaving);
+        let driver = Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), true);
+        let (phase, phases) = watch::channel(LifecyclePhase::LameDuck);
         let serving = spawn_local(Server::new(driver, &site, phases).run(listener, 8));
         (address, phase, serving)
     }
@@ -312,7 +312,7 @@
             assert!(answer.starts_with(&format!("http/1.1 {status}")), "{answer:?}");
             assert!(!answer.contains("connection: close"), "{answer:?}");
         }
-        phase.send_replace(Phase::Closing);
+        phase.send_replace(LifecyclePhase::Draining);
         assert_eq!(client.read(&mut [0; 1]).await.unwrap(), 0, "it ends between requests");
         serving.await.unwrap();
     }
@@ -336,7 +336,7 @@
         let known = discovery.known(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
         let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
         let driver = Driver::start(balancer, upstreams, discovery, known, true);
-        let (_phase, phases) = watch::channel(Phase::Serving);
+        let (_phase, phases) = watch::channel(LifecyclePhase::Serving);
         spawn_local(Server::new(driver, &site, phases).run(listener, 1));
         let ask = async |id: &str| {
             let mut client = TcpStream::connect(address).await.unwrap();
@@ -383,7 +383,7 @@
             let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
             let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
             let driver = Driver::start(balancer, upstreams, discovery, known, true);
-            let (phase, phases) = watch::channel(Phase::Serving);
+            let (phase, phases) = watch::channel(LifecyclePhase::Serving);
             spawn_local(Server::new(driver, &site, phases).run(listener, 8));
             let ask = async |id: &str, more: usize| {
                 let mut client = TcpStream::connect(address).await.unwrap();
@@ -404,7 +404,7 @@
             let (mut first, mut request) = (accept().await, [0; 1024]);
             assert!(first.read(&mut request).await.unwrap() > 0);
             if closing {
-                phase.send_replace(Phase::Closing);
+                phase.send_replace(LifecyclePhase::Draining);
                 yield_now().await;
             } else {
                 drop(ask("second", more).await);
@@ -435,7 +435,7 @@
         assert_eq!(used.try_write(LIVE).unwrap(), LIVE.len());
         let new: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
         new.iter().for_each(|mut stream| std::io::Write::write_all(&mut stream, LIVE).unwrap());
-        phase.send_replace(Phase::Closing);
+        phase.send_replace(LifecyclePhase::Draining);
         let mut all = vec![used];
         for stream in new {
             stream.set_nonblocking(true).unwrap();
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -4,12 +4,12 @@
 //! Everything that happens is put in a queue and played from there, one event at a time, so that the module
 //! is never entered twice; tasks only ever add to the queue.
 
-use crate::backoff::Backoff;
-use crate::discovery::{Discovery, Progress};
+use crate::discovery::backoff::Backoff;
+use crate::discovery::client::{Discovery, Progress};
+use crate::discovery::endpoint_list::WatchEvent;
 use crate::headers::CORRELATION_ID;
-use crate::list::News;
-use crate::metrics::{AnswerKind, Metrics};
-use crate::upstream::{Ended, Outgoing, Served, Upstreams};
+use crate::metrics::{Metrics, ResponseKind};
+use crate::upstream::attempt::{AttemptResult, OutgoingRequest, UpstreamResponse, Upstreams};
 use balancer_core::{
     Action, AttemptIndex, Balancer, ClassId, EndpointEntry, Event, Outcome, RejectionReason, RequestId,
     TenantId, TimerId, UpdateScope, UpstreamId,
@@ -56,11 +56,11 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalResponse {
     /// An upstream's.
-    Served(Served),
+    Served(UpstreamResponse),
     /// Trying again is harmless.
-    Refused {
+    Rejected {
         /// How long the client should stay away.
         retry_after: Option<Duration>,
         /// Why.
@@ -70,18 +70,18 @@
     Failed,
 }
 
-impl Answer {
-    fn kind(&self) -> AnswerKind {
+impl FinalResponse {
+    fn kind(&self) -> ResponseKind {
         match self {
-            Self::Served(_) => AnswerKind::Served,
-            Self::Refused { cause, .. } => AnswerKind::from(*cause),
-            Self::Failed => AnswerKind::Failed,
+            Self::Served(_) => ResponseKind::Served,
+            Self::Rejected { cause, .. } => ResponseKind::from(*cause),
+            Self::Failed => ResponseKind::Failed,
         }
     }
 }
 
 /// A request for the module to decide on.
-pub struct Asked {
+pub struct IncomingRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -93,16 +93,16 @@
     /// The client says that it has tried this before.
     pub repeat: bool,
     /// What is passed on.
-    pub outgoing: Outgoing,
+    pub outgoing: OutgoingRequest,
 }
 
-enum Happening {
-    Fleet(News),
-    Asked(RequestId),
-    AttemptEnded(RequestId, AttemptIndex, Ended),
-    ProbeEnded(UpstreamId, Duration, Ended),
-    Gone(RequestId),
-    Timer(TimerId),
+enum DriverEvent {
+    EndpointUpdate(WatchEvent),
+    RequestArrived(RequestId),
+    AttemptEnded(RequestId, AttemptIndex, AttemptResult),
+    HealthCheckEnded(UpstreamId, Duration, AttemptResult),
+    ClientDisconnected(RequestId),
+    TimerFired(TimerId),
 }
 
 struct Attempt {
@@ -112,8 +112,8 @@
     out: bool,
 }
 
-struct Held {
-    asked: Rc<Asked>,
+struct InFlightRequest {
+    asked: Rc<IncomingRequest>,
     /// Taken with the final answer, or when the client has gone.
     reply: Option<Reply>,
     attempts: Vec<Attempt>,
@@ -121,14 +121,14 @@
 
 /// What a client waits for.
 struct Reply {
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<FinalResponse>,
     /// Its end is seen by the attempts: what has not been sent by then is sent no more.
     awaited: watch::Sender<()>,
 }
 
 struct Core {
     balancer: Balancer,
-    requests: FxHashMap<RequestId, Held>,
+    requests: FxHashMap<RequestId, InFlightRequest>,
     actions: Vec<Action>,
     next_id: u32,
 }
@@ -137,7 +137,7 @@
 pub struct Driver {
     clock: Clock,
     core: RefCell<Core>,
-    queue: RefCell<VecDeque<Happening>>,
+    queue: RefCell<VecDeque<DriverEvent>>,
     playing: Cell<bool>,
     upstreams: Upstreams,
     discovery: Discovery,
@@ -145,7 +145,7 @@
     /// them is this driver's affair.
     asks: bool,
     /// Set when what is held has to end.
-    cut_off: watch::Sender<bool>,
+    abort_all: watch::Sender<bool>,
     metrics: Rc<Metrics>,
 }
 
@@ -155,7 +155,7 @@
         balancer: Balancer,
         upstreams: Upstreams,
         discovery: Discovery,
-        known: News,
+        known: WatchEvent,
         asks: bool,
     ) -> Rc<Self> {
         let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -169,12 +169,12 @@
             upstreams,
             discovery,
             asks,
-            cut_off: watch::Sender::new(false),
+            abort_all: watch::Sender::new(false),
             metrics,
         });
         let sweeper = Rc::clone(&driver);
         spawn_local(async move { sweeper.upstreams.sweep().await });
-        driver.happened(Happening::Fleet(known));
+        driver.happened(DriverEvent::EndpointUpdate(known));
         if !asks {
             driver.watch();
         }
@@ -183,7 +183,7 @@
 
     /// Hands a request to the module. Its final answer comes from what is returned; when that is dropped
     /// before, the client has gone.
-    pub fn ask(self: &Rc<Self>, asked: Asked) -> Pending {
+    pub fn submit(self: &Rc<Self>, asked: IncomingRequest) -> Pending {
         let (reply, answer) = oneshot::channel();
         let id = {
             let core = &mut *self.core.borrow_mut();
@@ -191,22 +191,22 @@
             let id = RequestId(core.next_id);
             core.next_id = core.next_id.wrapping_add(1);
             let reply = Reply { answer: reply, awaited: watch::Sender::new(()) };
-            let held = Held { asked: Rc::new(asked), reply: Some(reply), attempts: Vec::new() };
+            let held = InFlightRequest { asked: Rc::new(asked), reply: Some(reply), attempts: Vec::new() };
             core.requests.insert(id, held);
             id
         };
-        self.happened(Happening::Asked(id));
+        self.happened(DriverEvent::RequestArrived(id));
         Pending { driver: Rc::clone(self), id, answer: Some(answer) }
     }
 
     /// Ends all attempts that are out, and each that may follow, so that the module gives what it holds its
     /// final answer: the process is about to end.
-    pub fn cut_off(&self) {
-        self.cut_off.send_replace(true);
+    pub fn abort_all(&self) {
+        self.abort_all.send_replace(true);
     }
 
     /// Takes in what has happened and does what follows from it.
-    fn happened(self: &Rc<Self>, happening: Happening) {
+    fn happened(self: &Rc<Self>, happening: DriverEvent) {
         self.queue.borrow_mut().push_back(happening);
         if self.playing.replace(true) {
             return;
@@ -220,16 +220,16 @@
     }
 
     /// Plays one event into the module and carries out its actions.
-    fn play(self: &Rc<Self>, core: &mut Core, happening: Happening) {
+    fn play(self: &Rc<Self>, core: &mut Core, happening: DriverEvent) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut core.actions);
         match happening {
-            Happening::Fleet(news) => {
+            DriverEvent::EndpointUpdate(news) => {
                 let listed = self.fleet(&news);
                 let event = Event::EndpointUpdate { scope: news.scope, entries: &listed };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::Asked(id) => {
+            DriverEvent::RequestArrived(id) => {
                 let Some(held) = core.requests.get(&id) else { return };
                 let asked = &held.asked;
                 self.metrics.requests.inc();
@@ -245,7 +245,7 @@
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::AttemptEnded(id, no, ended) => {
+            DriverEvent::AttemptEnded(id, no, ended) => {
                 let Some(held) = core.requests.get_mut(&id) else { return };
                 // One event for each: a cancelled attempt may have ended by itself just before.
                 let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out) else {
@@ -259,7 +259,7 @@
                 if let Some(served) = ended.served
                     && let Some(reply) = held.reply.take()
                 {
-                    self.reply(id, reply, Answer::Served(served));
+                    self.reply(id, reply, FinalResponse::Served(served));
                 }
                 let finished = held.reply.is_none();
                 let event = Event::AttemptEnded {
@@ -274,7 +274,7 @@
                 core.balancer.handle(now, event, &mut actions);
                 self.forget_if_over(core, id);
             }
-            Happening::ProbeEnded(upstream, latency, ended) => {
+            DriverEvent::HealthCheckEnded(upstream, latency, ended) => {
                 let event = Event::HealthCheckEnded {
                     upstream,
                     outcome: ended.outcome,
@@ -283,16 +283,18 @@
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::Gone(id) => {
+            DriverEvent::ClientDisconnected(id) => {
                 let Some(held) = core.requests.get_mut(&id) else { return };
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "the client has left");
-                    self.metrics.answered(AnswerKind::ClientLeft);
+                    self.metrics.answered(ResponseKind::ClientLeft);
                     core.balancer.handle(now, Event::ClientDisconnected { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
             }
-            Happening::Timer(timer) => core.balancer.handle(now, Event::TimerFired { timer }, &mut actions),
+            DriverEvent::TimerFired(timer) => {
+                core.balancer.handle(now, Event::TimerFired { timer }, &mut actions)
+            }
         }
         for action in actions.drain(..) {
             self.carry_out(core, action);
@@ -301,13 +303,13 @@
     }
 
     /// Applies news to the connections and words them for the module.
-    fn fleet(&self, news: &News) -> Vec<EndpointEntry> {
+    fn fleet(&self, news: &WatchEvent) -> Vec<EndpointEntry> {
         if matches!(news.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = news.entries.iter().map(|e| e.id).collect();
-            self.upstreams.keep_only(|id| ids.contains(&id));
+            self.upstreams.retain_listed(|id| ids.contains(&id));
         }
         let listed = news.entries.iter().map(|entry| {
-            self.upstreams.place(entry.id, &entry.place);
+            self.upstreams.apply_entry(entry.id, &entry.place);
             EndpointEntry {
                 id: entry.id,
                 zone: entry.zone,
@@ -328,19 +330,19 @@
                 let out = core.requests.get(&id).and_then(|held| held.attempts.get(usize::from(attempt.0)));
                 if let Some(out) = out.filter(|a| a.out) {
                     out.task.abort();
-                    let cancelled = Happening::AttemptEnded(id, attempt, Outcome::Cancelled.into());
+                    let cancelled = DriverEvent::AttemptEnded(id, attempt, Outcome::Cancelled.into());
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
             Action::Reject { id, retry_after, reason: cause } => {
-                self.answer(core, id, Answer::Refused { retry_after, cause });
+                self.answer(core, id, FinalResponse::Rejected { retry_after, cause });
             }
-            Action::Fail { id } => self.answer(core, id, Answer::Failed),
+            Action::Fail { id } => self.answer(core, id, FinalResponse::Failed),
             Action::SetTimer { after, timer } => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     sleep(after).await;
-                    driver.happened(Happening::Timer(timer));
+                    driver.happened(DriverEvent::TimerFired(timer));
                 });
             }
             Action::WatchEndpoints => self.watch(),
@@ -348,7 +350,7 @@
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     let news = driver.discovery.fetch().await;
-                    driver.happened(Happening::Fleet(news));
+                    driver.happened(DriverEvent::EndpointUpdate(news));
                 });
             }
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
@@ -356,7 +358,7 @@
                 let (driver, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
                     let ended = driver.upstreams.probe(upstream).await;
-                    driver.happened(Happening::ProbeEnded(upstream, sent.elapsed(), ended));
+                    driver.happened(DriverEvent::HealthCheckEnded(upstream, sent.elapsed(), ended));
                 });
             }
             Action::Log { line } => tracing::info!("{line}"),
@@ -369,10 +371,10 @@
             let mut pause = Backoff::new(WATCH_PAUSE_LEAST, WATCH_PAUSE_MOST);
             loop {
                 let begun = Instant::now();
-                driver.discovery.watch(|news| driver.happened(Happening::Fleet(news))).await;
+                driver.discovery.watch(|news| driver.happened(DriverEvent::EndpointUpdate(news))).await;
                 if driver.asks {
                     // The module asks again when it sees fit.
-                    return driver.happened(Happening::Fleet(News::failed()));
+                    return driver.happened(DriverEvent::EndpointUpdate(WatchEvent::failed()));
                 }
                 if begun.elapsed() >= WATCH_LASTS {
                     pause.reset();
@@ -416,31 +418,31 @@
         let (sent, no) = (Instant::now(), AttemptIndex(held.attempts.len() as u8));
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
         let (driver, asked) = (Rc::clone(self), Rc::clone(&held.asked));
-        let mut cut_off = self.cut_off.subscribe();
+        let mut abort_all = self.abort_all.subscribe();
         let task = spawn_local(async move {
-            let ended = if *cut_off.borrow() {
+            let ended = if *abort_all.borrow() {
                 Outcome::NotSent.into()
             } else {
                 tokio::select! {
                     ended = driver.upstreams.attempt(upstream, &asked.outgoing, give_up, &mut awaited) => ended,
-                    _ = cut_off.wait_for(|cut| *cut) => Outcome::TimedOut.into(),
+                    _ = abort_all.wait_for(|cut| *cut) => Outcome::TimedOut.into(),
                 }
             };
-            driver.happened(Happening::AttemptEnded(id, no, ended));
+            driver.happened(DriverEvent::AttemptEnded(id, no, ended));
         });
         tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, "attempt");
         self.metrics.further_attempts.inc_by(u64::from(no.0 > 0));
         held.attempts.push(Attempt { upstream, sent, task: task.abort_handle(), out: true });
     }
 
-    fn answer(&self, core: &mut Core, id: RequestId, answer: Answer) {
+    fn answer(&self, core: &mut Core, id: RequestId, answer: FinalResponse) {
         if let Some(reply) = core.requests.get_mut(&id).and_then(|held| held.reply.take()) {
             self.reply(id, reply, answer);
         }
         self.forget_if_over(core, id);
     }
 
-    fn reply(&self, id: RequestId, reply: Reply, answer: Answer) {
+    fn reply(&self, id: RequestId, reply: Reply, answer: FinalResponse) {
         let kind = answer.kind();
         tracing::debug!(id = id.0, ?kind, "final answer");
         self.metrics.answered(kind);
@@ -450,7 +452,7 @@
 
     /// Lets go of a request that has its answer and no attempt out.
     fn forget_if_over(&self, core: &mut Core, id: RequestId) {
-        let over = |held: &Held| held.reply.is_none() && held.attempts.iter().all(|a| !a.out);
+        let over = |held: &InFlightRequest| held.reply.is_none() && held.attempts.iter().all(|a| !a.out);
         if core.requests.get(&id).is_some_and(over) {
             core.requests.remove(&id);
         }
@@ -461,23 +463,23 @@
 pub struct Pending {
     driver: Rc<Driver>,
     id: RequestId,
-    answer: Option<oneshot::Receiver<Answer>>,
+    answer: Option<oneshot::Receiver<FinalResponse>>,
 }
 
 impl Pending {
     /// The final answer.
-    pub async fn answer(mut self) -> Answer {
-        let Some(answer) = &mut self.answer else { return Answer::Failed };
+    pub async fn answer(mut self) -> FinalResponse {
+        let Some(answer) = &mut self.answer else { return FinalResponse::Failed };
         let answer = answer.await;
         self.answer = None;
-        answer.unwrap_or(Answer::Failed)
+        answer.unwrap_or(FinalResponse::Failed)
     }
 }
 
 impl Drop for Pending {
     fn drop(&mut self) {
         if self.answer.take().is_some() {
-            self.driver.happened(Happening::Gone(self.id));
+            self.driver.happened(DriverEvent::ClientDisconnected(self.id));
         }
     }
 }
@@ -493,11 +495,11 @@
 
     const LONG: Duration = Duration::from_secs(60);
 
-    fn asked(target: &'static str) -> Asked {
+    fn asked(target: &'static str) -> IncomingRequest {
         let (method, target) = (Method::POST, Uri::from_static(target));
-        let outgoing = Outgoing { method, target, headers: HeaderMap::new(), body: Bytes::new() };
+        let outgoing = OutgoingRequest { method, target, headers: HeaderMap::new(), body: Bytes::new() };
         let (class, tenant, deadline) = (ClassId(0), TenantId(0), Instant::now() + LONG);
-        Asked { class, tenant, deadline, expected_work_ms: None, repeat: false, outgoing }
+        IncomingRequest { class, tenant, deadline, expected_work_ms: None, repeat: false, outgoing }
     }
 
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -517,7 +519,7 @@
         let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
         let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
         let asks = site.settings.poll_endpoints;
-        (Driver::start(balancer, upstreams, discovery, News::failed(), asks), listener)
+        (Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), asks), listener)
     }
 
     /// Guards against a change that counts as told before it can have come, both where lists are pushed and where they
@@ -648,12 +650,12 @@
         let balancer = Balancer::new(settings.clone(), 7).unwrap();
         let driver =
             Driver::start(balancer, Upstreams::new(&settings, 1, 0, Rc::default()), discovery, known, true);
-        let first = driver.ask(asked("/first"));
+        let first = driver.submit(asked("/first"));
         let (mut stream, _) = upstream.accept().await.unwrap();
         assert!(read(&mut stream).await.starts_with("POST /first"));
         // The only place for a connection is taken.
-        let second = driver.ask(asked("/second"));
-        let third = driver.ask(asked("/third"));
+        let second = driver.submit(asked("/second"));
+        let third = driver.submit(asked("/third"));
         yield_now().await;
         drop(second);
         drop(first);
@@ -661,6 +663,6 @@
         let next = read(&mut stream).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
         assert!(next.starts_with("POST /third"), "{next:?}");
-        assert!(matches!(third.answer().await, Answer::Served(_)));
+        assert!(matches!(third.answer().await, FinalResponse::Served(_)));
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,19 +1,12 @@
 //! `balancer-proxy`: a load balancer on real sockets. Every decision is the `balancer_core` library's.
 
-mod backoff;
-mod client;
 mod config;
-mod connection;
 mod discovery;
+mod downstream;
 mod driver;
 mod headers;
-mod json_messages;
-mod list;
 mod metrics;
-mod pool;
-mod requests;
-mod seldom;
-mod server;
+mod rate_limited_log;
 mod signals;
 mod socket_io;
 mod upstream;
@@ -21,10 +14,10 @@
 use balancer_core::Balancer;
 use balancer_settings::InvalidSettings;
 use config::Config;
-use discovery::{Discovery, Progress};
+use discovery::client::{Discovery, Progress};
+use downstream::listener::{LifecyclePhase, Server};
 use driver::Driver;
 use metrics::Metrics;
-use server::{Phase, Server};
 use signals::SignalFlag;
 use std::error::Error;
 use std::io;
@@ -38,7 +31,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use tracing::level_filters::LevelFilter;
-use upstream::Upstreams;
+use upstream::attempt::Upstreams;
 
 /// After SIGTERM the front goes on dealing out new connections for 0.4 s at most, and clients go on using those
 /// that they have. They may until this balancer's neighbour, perhaps just started itself, has been taken in ...
@@ -112,22 +105,22 @@
     let listener = socket.listen(BACKLOG)?;
     tracing::info!(listen = %listener.local_addr()?, version = driver.list_version(), "serving");
     spawn_local(async move { metrics.log_changes().await });
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(LifecyclePhase::Serving);
     let server = Server::new(driver.clone(), &config.site, phases);
     let mut accepting = spawn_local(server.run(listener, config.client_connections()));
     spawn_local(reload(hangup, driver.clone()));
 
     term.raised().await;
     tracing::info!("leaving");
-    phase.send_replace(Phase::Leaving);
+    phase.send_replace(LifecyclePhase::LameDuck);
     let deadlines = config.site.settings.classes.iter().map(|class| class.deadline);
     let longest = deadlines.max().unwrap_or_default().min(KILL_DEADLINE_MOST);
     let leave = longest.mul_f64(LEAVE_SHARE).clamp(LEAVE_LEAST, LEAVE_MOST);
     sleep(leave).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(LifecyclePhase::Draining);
     let rest = (longest + KILL_AFTER_DEADLINE).saturating_sub(leave + LAST_WORDS);
     if timeout(rest, &mut accepting).await.is_err() {
-        driver.cut_off();
+        driver.abort_all();
         let _ = timeout(LAST_WORDS, &mut accepting).await;
     }
     Ok(())
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -15,27 +15,27 @@
 
 /// The final answer that a client got.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
-pub enum AnswerKind {
+pub enum ResponseKind {
     /// An upstream's.
     Served,
-    /// Refused: the tenant's bucket had no token.
-    RefusedNoToken,
-    /// Refused: no upstream could take a turn.
-    RefusedNoUpstream,
-    /// Refused: no attempt had run, and no further one could be made.
-    RefusedNoFurtherAttempt,
+    /// Rejected: the token bucket of the tenant was empty.
+    RejectedOverQuota,
+    /// Rejected: no upstream could take a request.
+    RejectedNoUpstream,
+    /// Rejected: no attempt was executed, and no retry was possible.
+    RejectedNoRetry,
     /// Failed.
     Failed,
     /// None: the client left before.
     ClientLeft,
 }
 
-impl From<RejectionReason> for AnswerKind {
-    fn from(cause: RejectionReason) -> Self {
-        match cause {
-            RejectionReason::OverQuota => Self::RefusedNoToken,
-            RejectionReason::NoUpstream => Self::RefusedNoUpstream,
-            RejectionReason::NoRetry => Self::RefusedNoFurtherAttempt,
+impl From<RejectionReason> for ResponseKind {
+    fn from(reason: RejectionReason) -> Self {
+        match reason {
+            RejectionReason::OverQuota => Self::RejectedOverQuota,
+            RejectionReason::NoUpstream => Self::RejectedNoUpstream,
+            RejectionReason::NoRetry => Self::RejectedNoRetry,
         }
     }
 }
@@ -78,7 +78,7 @@
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct AnswerLabels {
-    kind: AnswerKind,
+    kind: ResponseKind,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
@@ -150,7 +150,7 @@
     }
 
     /// A request got its final answer, or lost its client.
-    pub fn answered(&self, kind: AnswerKind) {
+    pub fn answered(&self, kind: ResponseKind) {
         self.answers.get_or_create(&AnswerLabels { kind }).inc();
     }
 
--- a/crates/proxy/src/seldom.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -7,12 +7,12 @@
 
 /// Lets one line a second pass and counts the others.
 #[derive(Default)]
-pub struct Seldom {
+pub struct RateLimitedLog {
     last: Cell<Option<Instant>>,
     skipped: Cell<u64>,
 }
 
-impl Seldom {
+impl RateLimitedLog {
     /// A warning, unless one has passed within the second.
     pub fn warn(&self, what: impl FnOnce() -> String) {
         let now = Instant::now();
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -3,11 +3,11 @@
 //! That an attempt never ran is said only of what can be proved: no connection was made, the kernel did not
 //! take the request's last byte before the connection ended, or the upstream says so itself.
 
-use crate::connection::{Connection, wire_length};
 use crate::headers::{self, LOAD, TIME_LEFT, UNPROCESSED};
 use crate::metrics::Metrics;
-use crate::pool::Pool;
-use crate::seldom::Seldom;
+use crate::rate_limited_log::RateLimitedLog;
+use crate::upstream::connection::{Connection, wire_length};
+use crate::upstream::pool::Pool;
 use balancer_core::{Availability, LoadField, LoadReporting, Outcome, Settings, UpstreamId};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -29,9 +29,9 @@
 
 /// The longest body of an answer; more is no answer. Those of requests are shorter: some answers hold some
 /// hundred KiB.
-const BODY_MOST: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Answers up to this length always find room; longer ones share what there is.
-const BODY_SMALL: usize = 64 * 1024;
+const SMALL_BODY_BYTES: usize = 64 * 1024;
 /// Share of the upstreams' idle time after which a connection is closed or not used any more: a request that
 /// crosses the upstream's own close ends as a reset, and an unsafe one is lost to its client then.
 const IDLE_SHARE: f64 = 0.8;
@@ -39,7 +39,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request as it is passed on.
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -52,7 +52,7 @@
 
 /// An upstream's 200 answer.
 #[derive(Debug)]
-pub struct Served {
+pub struct UpstreamResponse {
     /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
@@ -61,16 +61,16 @@
 
 /// How an attempt or a probe ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer, with [`Outcome::Ok`].
-    pub served: Option<Served>,
+    pub served: Option<UpstreamResponse>,
     /// A load report, in the order of the settings; empty if none came.
     pub report: Vec<f32>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, served: None, report: Vec::new() }
     }
@@ -78,7 +78,7 @@
 
 /// An entry of the list, as far as connections go.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct EndpointState {
     /// Where it listens; `None` if the list did not say so in a readable way.
     pub endpoint: Option<SocketAddr>,
     /// Whether it takes requests.
@@ -102,7 +102,7 @@
     connect_timeout: Duration,
     reports: LoadReporting,
     load_report_fields: Vec<LoadField>,
-    odd_reports: Seldom,
+    odd_reports: RateLimitedLog,
     metrics: Rc<Metrics>,
 }
 
@@ -117,13 +117,13 @@
             connect_timeout: settings.connect_timeout,
             reports: settings.load_reporting,
             load_report_fields: settings.load_report_fields.clone(),
-            odd_reports: Seldom::default(),
+            odd_reports: RateLimitedLog::default(),
             metrics,
         }
     }
 
     /// Takes in what the list says of one.
-    pub fn place(&self, id: UpstreamId, place: &Place) {
+    pub fn apply_entry(&self, id: UpstreamId, place: &EndpointState) {
         let mut known = self.known.borrow_mut();
         if place.availability == Availability::Removed {
             if let Some(upstream) = known.remove(&id) {
@@ -151,7 +151,7 @@
     }
 
     /// Forgets all that `listed` does not name: they are gone.
-    pub fn keep_only(&self, listed: impl Fn(UpstreamId) -> bool) {
+    pub fn retain_listed(&self, listed: impl Fn(UpstreamId) -> bool) {
         self.known.borrow_mut().retain(|id, upstream| {
             let stays = listed(*id);
             if !stays {
@@ -219,10 +219,10 @@
     pub async fn attempt(
         &self,
         id: UpstreamId,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         give_up: Instant,
         awaited: &mut watch::Receiver<()>,
-    ) -> Ended {
+    ) -> AttemptResult {
         let upstream = self.known.borrow().get(&id).map(Rc::clone);
         let Some(upstream) = upstream else { return Outcome::NotSent.into() };
         loop {
@@ -278,9 +278,9 @@
                     tracing::debug!(upstream = id.0, written, length, "broken: {e}");
                     return match e {
                         // It has been read, whole or not, by an upstream that lives and has answered.
-                        Broken::Spoilt(_) => Outcome::Error,
-                        Broken::Ended(_) if written < length => Outcome::ConnectFailed,
-                        Broken::Ended(_) => Outcome::Reset,
+                        ExchangeError::MalformedResponse(_) => Outcome::Error,
+                        ExchangeError::ConnectionLost(_) if written < length => Outcome::ConnectFailed,
+                        ExchangeError::ConnectionLost(_) => Outcome::Reset,
                     }
                     .into();
                 }
@@ -292,12 +292,12 @@
     }
 
     /// Asks an upstream how it is.
-    pub async fn probe(&self, id: UpstreamId) -> Ended {
+    pub async fn probe(&self, id: UpstreamId) -> AttemptResult {
         let target =
             Uri::from_static(if self.reports == LoadReporting::Off { "/health/live" } else { "/stats" });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
-        let outgoing = Outgoing { method: Method::GET, target, headers, body: Bytes::new() };
+        let outgoing = OutgoingRequest { method: Method::GET, target, headers, body: Bytes::new() };
         let (_waits, mut awaited) = watch::channel(());
         let mut ended = self.attempt(id, &outgoing, Instant::now() + PROBE_TIMEOUT, &mut awaited).await;
         if let Some(served) = &ended.served
@@ -309,7 +309,7 @@
         ended
     }
 
-    fn answered(&self, response: Response<Bytes>) -> Ended {
+    fn answered(&self, response: Response<Bytes>) -> AttemptResult {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
         let load = headers.remove(LOAD).filter(|_| self.reports == LoadReporting::Inline);
@@ -321,8 +321,8 @@
             _ => Outcome::Error,
         };
         headers::strip_hop_by_hop(&mut headers);
-        let served = (outcome == Outcome::Ok).then_some(Served { headers, body });
-        Ended { outcome, served, report }
+        let served = (outcome == Outcome::Ok).then_some(UpstreamResponse { headers, body });
+        AttemptResult { outcome, served, report }
     }
 
     fn read_report(&self, text: &[u8]) -> Vec<f32> {
@@ -344,7 +344,7 @@
 }
 
 /// The request of one attempt: how long the balancer will wait is its own.
-fn request(outgoing: &Outgoing, left: Duration) -> Request<Full<Bytes>> {
+fn request(outgoing: &OutgoingRequest, left: Duration) -> Request<Full<Bytes>> {
     let mut headers = outgoing.headers.clone();
     headers.insert(TIME_LEFT, HeaderValue::from(left.as_millis() as u64));
     if outgoing.method != Method::GET || !outgoing.body.is_empty() {
@@ -359,36 +359,40 @@
 
 /// Why an exchange came to no answer.
 #[derive(Debug)]
-enum Broken {
+enum ExchangeError {
     /// The connection ended.
-    Ended(Failure),
+    ConnectionLost(Failure),
     /// What came is no answer, though the connection stands: the request may have run, and the upstream is
     /// no worse than one that answers with an error.
-    Spoilt(Failure),
+    MalformedResponse(Failure),
 }
 
 type Failure = Box<dyn Error + Send + Sync>;
 
-impl fmt::Display for Broken {
+impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Ended(e) => write!(f, "ended: {e}"),
-            Self::Spoilt(e) => write!(f, "spoilt: {e}"),
+            Self::ConnectionLost(e) => write!(f, "ended: {e}"),
+            Self::MalformedResponse(e) => write!(f, "spoilt: {e}"),
         }
     }
 }
 
-impl From<hyper::Error> for Broken {
+impl From<hyper::Error> for ExchangeError {
     fn from(e: hyper::Error) -> Self {
-        if e.is_parse() { Self::Spoilt(e.into()) } else { Self::Ended(e.into()) }
+        if e.is_parse() { Self::MalformedResponse(e.into()) } else { Self::ConnectionLost(e.into()) }
     }
 }
 
 /// What went wrong with a body: hyper gives the reason for a framing that can't be read as invalid data.
-fn broken_body(e: Failure) -> Broken {
+fn broken_body(e: Failure) -> ExchangeError {
     let io = e.source().and_then(|e| e.downcast_ref::<io::Error>()).map(io::Error::kind);
     let unreadable = matches!(io, Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput));
-    if unreadable || e.is::<LengthLimitError>() { Broken::Spoilt(e) } else { Broken::Ended(e) }
+    if unreadable || e.is::<LengthLimitError>() {
+        ExchangeError::MalformedResponse(e)
+    } else {
+        ExchangeError::ConnectionLost(e)
+    }
 }
 
 /// Room for long answers, from the head's word on their length until the client has them.
@@ -437,23 +441,26 @@
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
     room: &Room,
-) -> Result<Response<Bytes>, Broken> {
+) -> Result<Response<Bytes>, ExchangeError> {
     let (parts, body) = connection.send(request).await?.into_parts();
     if parts.headers.contains_key(CONTENT_LENGTH) && parts.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Broken::Spoilt("two lengths".into()));
+        return Err(ExchangeError::MalformedResponse("two lengths".into()));
     }
     let stated = body.size_hint().lower();
-    if stated > BODY_MOST as u64 {
-        return Err(Broken::Spoilt(format!("{stated} bytes are too long").into()));
+    if stated > MAX_BODY_BYTES as u64 {
+        return Err(ExchangeError::MalformedResponse(format!("{stated} bytes are too long").into()));
     }
-    let take = |length| room.take(length).ok_or_else(|| Broken::Spoilt("no room for a long answer".into()));
-    let mut taken = (stated > BODY_SMALL as u64).then(|| take(stated as usize)).transpose()?;
-    let (mut body, mut whole) = (Limited::new(body, BODY_MOST), BytesMut::with_capacity(stated as usize));
+    let take = |length| {
+        room.take(length).ok_or_else(|| ExchangeError::MalformedResponse("no room for a long answer".into()))
+    };
+    let mut taken = (stated > SMALL_BODY_BYTES as u64).then(|| take(stated as usize)).transpose()?;
+    let (mut body, mut whole) =
+        (Limited::new(body, MAX_BODY_BYTES), BytesMut::with_capacity(stated as usize));
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(broken_body)?.into_data() else { continue };
         // One that does not say how long it is may come to the longest: the room is taken before it has.
-        if taken.is_none() && whole.len() + data.len() > BODY_SMALL {
-            taken = Some(take(BODY_MOST)?);
+        if taken.is_none() && whole.len() + data.len() > SMALL_BODY_BYTES {
+            taken = Some(take(MAX_BODY_BYTES)?);
         }
         whole.extend_from_slice(&data);
     }
@@ -478,8 +485,8 @@
     const ID: UpstreamId = UpstreamId(7);
     const LONG: Duration = Duration::from_secs(20);
 
-    fn outgoing() -> Outgoing {
-        Outgoing {
+    fn outgoing() -> OutgoingRequest {
+        OutgoingRequest {
             method: Method::POST,
             target: Uri::from_static("/book"),
             headers: HeaderMap::new(),
@@ -488,19 +495,19 @@
     }
 
     /// An attempt for a client that waits.
-    async fn attempt(upstreams: &Upstreams, id: UpstreamId, request: &Outgoing) -> Ended {
+    async fn attempt(upstreams: &Upstreams, id: UpstreamId, request: &OutgoingRequest) -> AttemptResult {
         let (_waits, mut awaited) = watch::channel(());
         upstreams.attempt(id, request, Instant::now() + LONG, &mut awaited).await
     }
 
-    async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, Place) {
+    async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, EndpointState) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let settings =
             Settings { connect_timeout: LONG, connection_idle_timeout: LONG, ..Settings::default() };
-        let upstreams = Rc::new(Upstreams::new(&settings, most_open, 4 * BODY_MOST, Rc::default()));
+        let upstreams = Rc::new(Upstreams::new(&settings, most_open, 4 * MAX_BODY_BYTES, Rc::default()));
         let endpoint = Some(listener.local_addr().unwrap());
-        let place = Place { endpoint, availability: Availability::Ready, boot_ms: 0 };
-        upstreams.place(ID, &place);
+        let place = EndpointState { endpoint, availability: Availability::Ready, boot_ms: 0 };
+        upstreams.apply_entry(ID, &place);
         (upstreams, listener, place)
     }
 
@@ -517,7 +524,7 @@
         let second = spawn_local(async move { attempt(&waits, ID, &outgoing()).await });
         tokio::task::yield_now().await;
         place.availability = Availability::Draining;
-        upstreams.place(ID, &place);
+        upstreams.apply_entry(ID, &place);
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
         assert_eq!(first.await.unwrap().outcome, Outcome::Ok, "what it has it finishes");
         assert_eq!(second.await.unwrap().outcome, Outcome::NotSent);
@@ -531,7 +538,7 @@
         for same in [true, false] {
             let (upstreams, listener, place) = upstreams(1).await;
             let other = if same { ID } else { UpstreamId(8) };
-            upstreams.place(other, &place);
+            upstreams.apply_entry(other, &place);
             let sent = |id: UpstreamId| {
                 let upstreams = Rc::clone(&upstreams);
                 spawn_local(async move { attempt(&upstreams, id, &outgoing()).await })
@@ -569,7 +576,7 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
             place.boot_ms = boot_ms;
-            upstreams.place(ID, &place);
+            upstreams.apply_entry(ID, &place);
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
             assert_eq!(sent.await.unwrap().outcome, Outcome::Ok);
             let kept = upstreams.pool.take(ID);
@@ -604,7 +611,7 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
         assert_eq!(first.await.unwrap().outcome, Outcome::Ok, "it had left whole");
         // Far more than the kernel takes while nobody reads.
-        let long = Outgoing { body: Bytes::from(vec![0; 64 << 20]), ..outgoing() };
+        let long = OutgoingRequest { body: Bytes::from(vec![0; 64 << 20]), ..outgoing() };
         let (waits, mut awaited) = watch::channel(());
         let held = Rc::clone(&upstreams);
         let third =
@@ -731,7 +738,7 @@
     #[tokio::test(flavor = "local")]
     async fn long_answers_pass_while_there_is_room() {
         let (upstreams, listener, _) = upstreams(8).await;
-        let body = "y".repeat(BODY_MOST);
+        let body = "y".repeat(MAX_BODY_BYTES);
         let stated = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let chunk = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
         let chunked = format!("HTTP/1.1 200 OK\r\n{chunk}");
@@ -749,7 +756,7 @@
             let (ended, ()) = tokio::join!(attempt(&upstreams, ID, &request), answer);
             if !(4..=5).contains(&n) {
                 let served = ended.served.expect("there is room");
-                assert_eq!(served.body.len(), BODY_MOST);
+                assert_eq!(served.body.len(), MAX_BODY_BYTES);
                 held.push(served);
             } else {
                 assert_eq!(ended.outcome, Outcome::Error, "{n}");
@@ -765,8 +772,8 @@
     #[tokio::test(flavor = "local")]
     async fn an_answer_of_unknown_length_takes_its_room_as_it_comes() {
         let (upstreams, listener, _) = upstreams(8).await;
-        let _held = upstreams.long_answers.take(3 * BODY_MOST).expect("room for one is left");
-        let chunk = format!("{:x}\r\n{}\r\n", 2 * BODY_SMALL, "y".repeat(2 * BODY_SMALL));
+        let _held = upstreams.long_answers.take(3 * MAX_BODY_BYTES).expect("room for one is left");
+        let chunk = format!("{:x}\r\n{}\r\n", 2 * SMALL_BODY_BYTES, "y".repeat(2 * SMALL_BODY_BYTES));
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let first = Rc::clone(&upstreams);
         let first = spawn_local(async move { attempt(&first, ID, &outgoing()).await });
@@ -790,8 +797,8 @@
         assert_eq!(second.outcome, Outcome::Error, "no room beside the first");
         slow.write_all(b"0\r\n\r\n").await.unwrap();
         let served = first.await.unwrap().served.expect("the first had its room");
-        assert_eq!(served.body.len(), 2 * BODY_SMALL);
-        let rest = upstreams.long_answers.take(BODY_MOST - 2 * BODY_SMALL);
+        assert_eq!(served.body.len(), 2 * SMALL_BODY_BYTES);
+        let rest = upstreams.long_answers.take(MAX_BODY_BYTES - 2 * SMALL_BODY_BYTES);
         assert!(rest.is_some(), "what it did not need came back");
     }
 
@@ -801,7 +808,7 @@
     async fn connections_stay_under_the_limit() {
         let (upstreams, listener, place) = upstreams(1).await;
         let other = UpstreamId(8);
-        upstreams.place(other, &place);
+        upstreams.apply_entry(other, &place);
         for id in [ID, other] {
             let answer = async {
                 let (mut stream, _) = listener.accept().await.unwrap();
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -23,7 +23,7 @@
 const BUFFER: usize = 32 * 1024;
 
 /// A stream that counts what was written to it, and gives `slot` back when its descriptor is closed.
-struct Counted<S> {
+struct CountingStream<S> {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
     /// Set before a request: its first byte may only go out on a connection that is silent and open.
@@ -31,7 +31,7 @@
     _slot: S,
 }
 
-impl<S> Counted<S> {
+impl<S> CountingStream<S> {
     /// An error where something has come that nobody asked for, the end of the connection included. The
     /// kernel is asked, as this process may not have looked since: what came behind an earlier answer must
     /// not be taken for the answer to the next request, and a request written to a connection that has ended
@@ -59,13 +59,13 @@
     }
 }
 
-impl<S: Unpin> AsyncRead for Counted<S> {
+impl<S: Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         socket_io::poll_read(&self.stream, cx, buf).map_ok(|_| ())
     }
 }
 
-impl<S: Unpin> AsyncWrite for Counted<S> {
+impl<S: Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.hear()?;
         let poll = socket_io::poll_write(&self.stream, cx, |stream| stream.try_write(buf));
@@ -110,7 +110,7 @@
         let stream = socket_io::connect(peer).await?;
         stream.set_nodelay(true)?;
         let (written, listen_first) = <(Rc<Cell<u64>>, Rc<Cell<bool>>)>::default();
-        let counted = Counted {
+        let counted = CountingStream {
             stream,
             written: Rc::clone(&written),
             listen_first: Rc::clone(&listen_first),
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to upstreams: how many may be open, and which of them are idle.
 
-use crate::connection::Connection;
-use crate::seldom::Seldom;
+use crate::rate_limited_log::RateLimitedLog;
+use crate::upstream::connection::Connection;
 use balancer_core::UpstreamId;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -56,7 +56,7 @@
     slots: Arc<Semaphore>,
     most_open: usize,
     idle_most: Duration,
-    full: Seldom,
+    full: RateLimitedLog,
 }
 
 impl Pool {
@@ -68,7 +68,7 @@
             slots: Arc::new(Semaphore::new(most_open)),
             most_open,
             idle_most,
-            full: Seldom::default(),
+            full: RateLimitedLog::default(),
         }
     }
 
