--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,143 +1,111 @@
-//! Admission: one token bucket for each tenant, refilled every tick by a guaranteed rate and a share of the
-//! spare room, in proportion to demand.
+//! Admission control: a token bucket for each tenant, refilled every tick by a guaranteed rate and by a share
+//! of the upstreams' spare capacity in proportion to demand.
 
-use crate::room::Room;
+use crate::capacity::SpareCapacity;
 use crate::settings::Settings;
+use crate::token_bucket::{Refill, TokenBucket};
 
-/// Seconds and requests over which demand V_i is counted at least: a tick sees too few to go by.
-const DEMAND_OVER: f64 = 1.0;
-const DEMAND_COUNT: f64 = 10.0;
-/// Bucket size T_i: these seconds of the guarantee, but no more than the longest aim, as they are admitted
-/// even when room has just gone; or this share of the tenant's demand, whichever is more, and this many
-/// tokens, so that a small tenant's chance pairs are not refused.
-const BUCKET_OVER: f64 = 1.0;
-const BUCKET: f64 = 0.2;
-const BUCKET_LEAST: f64 = 3.0;
-/// Guarantees grow with the middle tenant's demand and this much more, up to so many equal parts.
-const PART_SPARE: f64 = 1.3;
-const PART_MOST: f64 = 4.0;
-/// Part of a guarantee lost for each part of what is held that is too much: for demand over the guarantee,
-/// and inside it, where the loss begins only past so much.
-const CUT_OVER: f64 = 20.0;
-const CUT_INSIDE: f64 = 2.0;
-const CUT_INSIDE_FROM: f64 = 0.25;
-/// Seconds over which what is missing is averaged before saved tokens go the same way.
-const MISSING_OVER: f64 = 0.3;
+/// Seconds over which demand is averaged at least.
+const MIN_DEMAND_WINDOW_SECONDS: f64 = 1.0;
+/// Requests of all tenants that the averaging window holds at least, so that a tenant which happens to be
+/// silent for a moment is not without demand.
+const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
+/// Seconds of the guaranteed rate that a bucket holds at most: what was saved is admitted even when capacity
+/// has just been lost.
+const MAX_GUARANTEE_SECONDS: f64 = 1.0;
+/// Headroom over the median tenant's demand to which the guarantees grow.
+const GUARANTEE_HEADROOM: f64 = 1.3;
+/// The largest multiple of its quota that a guarantee grows to.
+const MAX_GUARANTEE_FACTOR: f64 = 4.0;
+/// Seconds over which overload is averaged before the buckets shrink.
+const OVERLOAD_SMOOTHING_SECONDS: f64 = 0.3;
+/// Quota of a tenant for which none is stated, in requests per second.
+const DEFAULT_QUOTA: f64 = 1.0;
 
-/// The token bucket of a tenant.
-#[derive(Default)]
-struct Bucket {
-    /// mu_i.
-    tokens: f64,
-    /// V_i of the running tick.
-    arrivals: f64,
-    /// V_i a second, smoothed.
-    demand: f64,
-    /// This balancer's equal part of the tenant's allowance, a second.
-    part: f64,
-    /// u_g_i a second.
-    guarantee: f64,
-}
-
-/// Seconds of a tenant's guarantee that its bucket holds.
-fn bucket_over(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|c| c.latency_objective.as_secs_f64()).fold(0.0, f64::max).min(BUCKET_OVER)
-}
-
-/// The buckets of all tenants.
+/// The token buckets of all tenants.
 #[derive(Default)]
 pub(crate) struct Admission {
-    buckets: Vec<Bucket>,
-    bucket_over: f64,
-    /// Part of what is held at upstreams that is too much, smoothed.
-    missing: f64,
+    buckets: Vec<TokenBucket>,
+    guarantee_seconds: f64,
+    /// Share of the requests in flight that exceeds the upstreams' capacity, smoothed.
+    smoothed_overload: f64,
 }
 
 impl Admission {
-    /// Full buckets for the settings' tenants; for one where none are stated.
+    /// Full buckets for the tenants of the settings, or one bucket where there are no tenants.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let bucket_over = bucket_over(settings);
-        let buckets = (0..settings.tenants.len().max(1)).map(|i| {
-            let stated = settings.tenants.get(i).map_or(0.0, |t| t.quota_per_second);
-            let guarantee = if stated > 0.0 { stated / f64::from(settings.balancers) } else { 1.0 };
-            let tokens = BUCKET_LEAST + guarantee * bucket_over;
-            Bucket { tokens, part: guarantee, guarantee, ..Bucket::default() }
-        });
-        Self { buckets: buckets.collect(), bucket_over, missing: 0.0 }
+        let guarantee_seconds = guarantee_seconds(settings);
+        let tenant_count = settings.tenants.len().max(1);
+        let buckets = (0..tenant_count)
+            .map(|tenant| TokenBucket::full(quota_per_balancer(settings, tenant), guarantee_seconds))
+            .collect();
+        Self { buckets, guarantee_seconds, smoothed_overload: 0.0 }
     }
 
-    /// A request of a tenant has come. Whether there is a token for it; an unknown tenant shares the last
-    /// one's bucket.
-    pub(crate) fn arrival(&mut self, tenant: usize) -> bool {
-        let bucket = self.bucket(tenant);
-        bucket.arrivals += 1.0;
-        bucket.tokens >= 1.0
+    /// Counts an arriving request and returns whether its tenant has a token. Unknown tenants share the
+    /// bucket of the last tenant.
+    pub(crate) fn record_arrival(&mut self, tenant: usize) -> bool {
+        self.bucket(tenant).record_arrival()
     }
 
-    /// The request is admitted.
+    /// Takes the token of an admitted request.
     pub(crate) fn take_token(&mut self, tenant: usize) {
-        self.bucket(tenant).tokens -= 1.0;
+        self.bucket(tenant).take_token();
     }
 
-    fn bucket(&mut self, tenant: usize) -> &mut Bucket {
+    fn bucket(&mut self, tenant: usize) -> &mut TokenBucket {
         let last = self.buckets.len() - 1;
         &mut self.buckets[tenant.min(last)]
     }
 
-    /// Refills the buckets, `tau` seconds after the last time.
-    pub(crate) fn refill(&mut self, tau: f64, room: &Room) {
-        let total: f64 = self.buckets.iter().map(|b| b.demand).sum();
-        // Long enough to hold a few requests: a tenant that happened to be silent is not without demand.
-        let demand_over = DEMAND_OVER.max(DEMAND_COUNT / total.max(0.1));
-        let missing = room.missing_share();
-        self.grow_guarantees(missing);
-        self.missing += (tau / MISSING_OVER).min(1.0) * (missing.min(1.0) - self.missing);
-        let surge: f64 = self.buckets.iter().map(|b| (b.demand - b.guarantee).max(0.0)).sum();
-        let surge_share = surge / total.max(1e-9);
+    /// Refills all buckets, `elapsed` seconds after the last refill.
+    pub(crate) fn refill(&mut self, elapsed: f64, capacity: &SpareCapacity) {
+        let total_demand: f64 = self.buckets.iter().map(TokenBucket::demand).sum();
+        let demand_window = MIN_DEMAND_WINDOW_SECONDS.max(MIN_DEMAND_WINDOW_REQUESTS / total_demand.max(0.1));
+        let overload = capacity.overload_share();
+        self.scale_guarantees(overload);
+        self.smoothed_overload +=
+            (elapsed / OVERLOAD_SMOOTHING_SECONDS).min(1.0) * (overload.min(1.0) - self.smoothed_overload);
+        let surge: f64 = self.buckets.iter().map(TokenBucket::surge).sum();
+        let refill = Refill {
+            elapsed,
+            demand_window,
+            total_demand,
+            surge_share: surge / total_demand.max(1e-9),
+            guarantee_seconds: self.guarantee_seconds,
+            spare_capacity: capacity.spare(),
+            overload,
+            smoothed_overload: self.smoothed_overload,
+        };
         for bucket in &mut self.buckets {
-            let size = bucket.size(self.bucket_over, self.missing, surge_share);
-            bucket.tokens = bucket.tokens.min(size);
-            let share = if total > 0.0 { bucket.demand / total } else { 0.0 };
-            // Only whole tokens count against a share of W under one request: else it stops short of one.
-            let open = (room.free() - bucket.tokens.floor()).max(0.0);
-            let grant = (1.0 - bucket.cut(missing)).clamp(0.0, 1.0) * bucket.guarantee * tau + share * open;
-            bucket.tokens += grant.min((size - bucket.tokens).max(0.0));
-            bucket.demand += (tau / demand_over).min(1.0) * (bucket.arrivals / tau.max(1e-6) - bucket.demand);
-            bucket.arrivals = 0.0;
+            bucket.refill(&refill);
         }
     }
 
-    /// Where the middle tenant asks for more than its part, this balancer carries more, and no tenant
-    /// surges; unless much is missing: then all surge, as with retries in a jam.
-    fn grow_guarantees(&mut self, missing: f64) {
-        let mut asks: Vec<f64> = self.buckets.iter().map(|b| b.demand / b.part.max(1e-9)).collect();
-        asks.sort_by(f64::total_cmp);
-        let more = (asks.get(asks.len() / 2).unwrap_or(&1.0) * PART_SPARE).clamp(1.0, PART_MOST);
-        let more = 1.0 + (more - 1.0) * (1.0 - missing).max(0.0);
+    /// Raises all guarantees where the median tenant demands more than its quota: this balancer then carries
+    /// more than its equal part of the traffic, and no tenant surges. Not under overload, when retries raise
+    /// the demand of all.
+    fn scale_guarantees(&mut self, overload: f64) {
+        let mut relative_demands: Vec<f64> = self.buckets.iter().map(TokenBucket::relative_demand).collect();
+        relative_demands.sort_by(f64::total_cmp);
+        let median = relative_demands.get(relative_demands.len() / 2).unwrap_or(&1.0);
+        let wanted = (median * GUARANTEE_HEADROOM).clamp(1.0, MAX_GUARANTEE_FACTOR);
+        let factor = 1.0 + (wanted - 1.0) * (1.0 - overload).max(0.0);
         for bucket in &mut self.buckets {
-            bucket.guarantee = bucket.part * more;
+            bucket.scale_guarantee(factor);
         }
     }
 }
 
-impl Bucket {
-    /// T_i. What was saved up would go on being admitted for seconds where room is missing: buckets shrink
-    /// too, inside the guarantees by what the surge of others does not account for.
-    fn size(&self, bucket_over: f64, missing: f64, surge_share: f64) -> f64 {
-        let from = CUT_INSIDE_FROM + if self.demand > self.guarantee { 0.0 } else { surge_share };
-        let part = (1.0 - CUT_INSIDE * (missing - from)).clamp(0.0, 1.0);
-        let saved = (BUCKET * self.demand).max(self.guarantee * bucket_over);
-        part * (BUCKET_LEAST + saved)
-    }
+/// Seconds of a tenant's guaranteed rate that its bucket holds: the longest latency objective, within a
+/// limit.
+fn guarantee_seconds(settings: &Settings) -> f64 {
+    let objectives = settings.classes.iter().map(|class| class.latency_objective.as_secs_f64());
+    objectives.fold(0.0, f64::max).min(MAX_GUARANTEE_SECONDS)
+}
 
-    /// Part of the guarantee that is not granted. Where room is missing, those over their guarantee lose it
-    /// first; the rest too when much is missing, as after the loss of half the fleet: nobody is served from
-    /// full queues.
-    fn cut(&self, missing: f64) -> f64 {
-        if self.demand > self.guarantee {
-            CUT_OVER * missing
-        } else {
-            CUT_INSIDE * (missing - CUT_INSIDE_FROM)
-        }
-    }
+/// This balancer's equal part of a tenant's quota, in requests per second.
+fn quota_per_balancer(settings: &Settings, tenant: usize) -> f64 {
+    let quota = settings.tenants.get(tenant).map_or(0.0, |tenant| tenant.quota_per_second);
+    if quota > 0.0 { quota / f64::from(settings.balancers) } else { DEFAULT_QUOTA }
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -30,7 +30,7 @@
 
 /// Position of an attempt among the attempts of its request, in the order of
 /// [`Action::SendAttempt`](crate::Action::SendAttempt).
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptIndex(pub u8);
 
 /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer).
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a reverse proxy that spreads requests over HTTP upstreams: which request is
-//! admitted, which upstream it goes to, and what happens when an attempt fails.
+//! The decisions of a load balancer for HTTP upstreams: which request is admitted, which upstream it is sent
+//! to, and what happens when an attempt fails.
 //!
-//! The crate does no I/O and reads no clock. The embedder tells [`Balancer`] what happens, as [`Event`]s with
-//! the time, and carries out the [`Action`]s it answers. The same settings, seed and events always give the
-//! same actions.
+//! The crate does no I/O and reads no clock. The embedder delivers [`Event`]s with the time to a [`Balancer`]
+//! and carries out the [`Action`]s that it returns. The same settings, seed and events always give the same
+//! actions.
 //!
 //! ```
 //! use balancer_core::*;
@@ -22,7 +22,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // A balancer's life starts with the list of upstreams it knows.
+//! // The first event holds the upstreams known from before.
 //! let entries = [EndpointEntry {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
@@ -32,9 +32,10 @@
 //!     weight: 1.0,
 //!     started_at: None,
 //! }];
-//! balancer.handle(ms(0), Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &entries }, &mut actions);
+//! let known = Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &entries };
+//! balancer.handle(ms(0), known, &mut actions);
 //!
-//! // A request comes: it is sent on, or refused at once.
+//! // A request arrives: it is forwarded, or rejected at once.
 //! actions.clear();
 //! let request = Event::RequestArrived {
 //!     id: RequestId(1),
@@ -47,7 +48,7 @@
 //! balancer.handle(ms(5), request, &mut actions);
 //! assert!(matches!(actions[..], [Action::SendAttempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
 //!
-//! // The upstream has answered: the embedder passes the answer on, and tells.
+//! // The upstream has responded: the embedder forwards the response and reports the end of the attempt.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     id: RequestId(1),
@@ -63,24 +64,29 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! Two things an embedder must do: deliver the timers that [`Action::SetTimer`] asks for (the balancer's tick is
-//! one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the latest, at the client's
-//! deadline. `Balancer` gives each request exactly one final answer on these terms.
+//! An embedder must deliver the timers that [`Action::SetTimer`] asks for (the balancer's tick is one of
+//! them), and end an attempt as [`Outcome::TimedOut`] at its timeout or, at the latest, at the client's
+//! deadline. On these terms, a `Balancer` gives each request exactly one final response.
 
 mod action;
 mod admission;
-mod choice;
-mod discovery_schedule;
+mod balancer;
+mod capacity;
 mod event;
+mod idle_connections;
 mod ids;
-mod room;
+mod latency;
+mod random;
+mod requests;
+mod round_robin;
 mod settings;
-mod stale_connections;
-mod state;
-mod stats;
+mod time;
+mod token_bucket;
+mod upstreams;
+mod watch_schedule;
 
 pub use action::{Action, RejectionReason};
-pub use choice::Balancer;
+pub use balancer::Balancer;
 pub use event::{Availability, EndpointEntry, Event, Outcome, UpdateScope};
 pub use ids::*;
 pub use settings::{
@@ -88,7 +94,7 @@
     SettingsField, Tenant, WeightKind,
 };
 
-/// README's embedding example, kept honest by the tests.
+/// Runs the example in the README as a test.
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct Readme;
--- /dev/null
+++ b/crates/core/src/requests/hedging.rs
@@ -0,0 +1,18 @@
+//! Hedged requests: a second attempt beside one that takes longer than usual.
+
+use crate::balancer::Balancer;
+use crate::ids::RequestId;
+
+/// What a hedged request costs of the retry budget.
+const HEDGE_COST: f64 = 1.0;
+
+impl Balancer {
+    /// Sends a hedged request for one whose attempt has just become overdue. Only where there is spare
+    /// capacity: without it, hedged requests make other attempts overdue.
+    pub(crate) fn hedge(&mut self, id: RequestId) {
+        if self.settings.hedging && self.capacity.spare() > 0.0 {
+            // Where no upstream or no budget is left, the attempt is just waited for.
+            self.retry(id, HEDGE_COST);
+        }
+    }
+}
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -10,8 +10,8 @@
 pub enum RetrySafety {
     /// Executing the request again is harmless.
     Idempotent,
-    /// The request bears an idempotency key: upstreams of one scope drop a copy that reaches them within `ttl`
-    /// of the first attempt that may have been executed.
+    /// The request bears an idempotency key: upstreams of one scope drop a copy that reaches them within
+    /// `ttl` of the first attempt that may have been executed.
     Deduplicated {
         /// The upstreams that share the record of a key.
         scope: DeduplicationScope,
@@ -149,8 +149,9 @@
     pub over_quota_weight: f64,
     /// The priority weight of a request is proportional to its work.
     pub weight_by_work: bool,
-    /// The balancer has to poll for the endpoint list, by [`Action::WatchEndpoints`](crate::Action::WatchEndpoints)
-    /// and [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
+    /// The balancer has to poll for the endpoint list, by
+    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) and
+    /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
     pub poll_endpoints: bool,
     /// A balancer that has not polled for this long counts as notified of all changes until then.
     pub poll_interval: Duration,
@@ -178,8 +179,8 @@
     pub connection_idle_timeout: Duration,
     /// Attempts that one connection carries at once.
     pub max_streams: u32,
-    /// The share of requests of a class that may miss the latency objective, where the goal values the slowest
-    /// responses.
+    /// The share of requests of a class that may miss the latency objective, where the goal values the
+    /// slowest responses.
     pub tolerated_miss_ratio: Option<f64>,
     /// CPU time that a request and its attempts may cost; zero for no limit.
     pub cpu_per_request: Duration,
--- /dev/null
+++ b/crates/core/src/upstreams/mod.rs
@@ -0,0 +1,15 @@
+//! The upstreams in the endpoint list: what is known of each, and which of them take requests.
+
+mod load_reports;
+mod outlier_detection;
+mod set;
+mod slow_start;
+mod subset;
+mod upstream;
+mod weights;
+
+pub(crate) use load_reports::mean_utilization;
+pub(crate) use outlier_detection::{AttemptVerdict, is_fast};
+pub(crate) use set::UpstreamSet;
+pub(crate) use upstream::Upstream;
+pub(crate) use weights::WeightInputs;
