--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -87,7 +87,7 @@
     fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: Raw<'_> = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
-        let site = balancer_settings::parse(raw.settings.get()).map_err(ConfigError)?;
+        let site = balancer_settings::parse(raw.settings.get()).map_err(|e| ConfigError(e.to_string()))?;
         if raw.limits.sockets < 2 * RESERVED_SOCKETS {
             return Err(ConfigError(format!("limits.sockets: {} are too few", raw.limits.sockets)));
         }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -3,7 +3,7 @@
 use crate::rate_limited_log::RateLimitedLog;
 use crate::upstream::attempt::EndpointState;
 use balancer_core::{Availability, CellId, HardwareId, UpdateScope, UpstreamId, ZoneId};
-use balancer_settings::Names;
+use balancer_settings::SiteNames;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use thiserror::Error;
@@ -123,13 +123,13 @@
 
 /// Reads lists.
 pub struct EndpointListReader {
-    names: Names,
+    names: SiteNames,
     odd: RateLimitedLog,
 }
 
 impl EndpointListReader {
     /// A reader that turns these names of zones and kinds into numbers.
-    pub fn new(names: Names) -> Self {
+    pub fn new(names: SiteNames) -> Self {
         Self { names, odd: RateLimitedLog::default() }
     }
 
@@ -167,7 +167,7 @@
         Ok(DiscoveredEndpoint {
             id: stable_id(&raw.uid),
             zone: ZoneId(position(&self.names.zones, raw.az).map_or(u8::MAX, |z| z as u8)),
-            kind: HardwareId(position(&self.names.kinds, raw.model).map_or(u16::MAX, |k| k as u16)),
+            kind: HardwareId(position(&self.names.hardware, raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group.unwrap_or_default() as u16),
             weight: raw.capacity_hint.unwrap_or(WEIGHT_UNTOLD),
             place: EndpointState {
--- /dev/null
+++ b/crates/settings/src/invalid_settings.rs
@@ -0,0 +1,39 @@
+//! Validation errors in the terms of the settings object.
+
+use balancer_core::{SettingsError, SettingsField};
+use thiserror::Error;
+
+/// A [`SettingsError`] whose message names the value as the settings object does.
+#[derive(Debug, Error)]
+#[error("{}", message(.0))]
+pub struct InvalidSettings(pub SettingsError);
+
+fn message(error: &SettingsError) -> String {
+    match error {
+        SettingsError::OutOfRange(field) => format!("settings: {} is out of range", wire_name(*field)),
+        SettingsError::NoClasses | SettingsError::NoBalancers => error.to_string(),
+    }
+}
+
+fn wire_name(field: SettingsField) -> &'static str {
+    match field {
+        SettingsField::MaxAttempts => "limits.try_limit",
+        SettingsField::Index => "me",
+        SettingsField::MaxStreams => "limits.max_streams",
+        SettingsField::OverQuotaWeight => "over_share_worth",
+        SettingsField::SlowStartFloor => "guarantees.cold_from",
+        SettingsField::OverloadFactor => "guarantees.fall_multiple",
+        SettingsField::ToleratedMissRatio => "goal.tail_miss",
+        SettingsField::CrossZonePrice => "prices.cross_zone",
+        SettingsField::ConnectionPrice => "prices.connection",
+        SettingsField::HandshakePrice => "prices.handshake",
+        SettingsField::LateFailurePrice => "prices.late_fail",
+        SettingsField::HealthCheckPrice => "prices.probe",
+        SettingsField::WastedWorkPrice => "prices.waste",
+        SettingsField::LatencyObjective => "class aim_ms",
+        SettingsField::PriorityWeight => "class worth",
+        SettingsField::LatePriorityWeight => "class late_worth",
+        SettingsField::LatencyObjectiveStretch => "class aim_stretch",
+        SettingsField::QuotaPerSecond => "allowance_per_s",
+    }
+}
--- /dev/null
+++ b/crates/settings/src/site.rs
@@ -0,0 +1,25 @@
+//! The result of parsing a settings object.
+
+use balancer_core::Settings;
+
+/// The typed settings of a site, with the names that their indices stand for.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Site {
+    /// The settings of the balancer.
+    pub settings: Settings,
+    /// The names of classes, tenants, zones and hardware.
+    pub names: SiteNames,
+}
+
+/// Names by index: classes and tenants in the order of [`Settings`], zones and hardware by their ids.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct SiteNames {
+    /// The request classes.
+    pub classes: Vec<String>,
+    /// The tenants.
+    pub tenants: Vec<String>,
+    /// The failure domains.
+    pub zones: Vec<String>,
+    /// The kinds of hardware.
+    pub hardware: Vec<String>,
+}
--- /dev/null
+++ b/crates/settings/tests/defaults.rs
@@ -0,0 +1,49 @@
+//! The values of keys that a settings object leaves out, and of times out of range.
+
+use balancer_core::{RequestClass, Settings, Tenant, WeightKind};
+use balancer_settings::{SiteNames, duration_from_ms, parse};
+use std::time::Duration;
+
+#[test]
+fn an_empty_object_gives_the_default_settings_without_weights() {
+    let site = parse("{}").expect("an empty object is valid");
+
+    assert_eq!(site.settings, Settings { weight_kind: WeightKind::Ignored, ..Settings::default() });
+    assert_eq!(site.names, SiteNames::default());
+}
+
+#[test]
+fn null_stands_for_a_missing_value() {
+    let text = r#"{"balancers": null, "over_share_worth": null, "guarantees": {"cold_ms": null},
+        "limits": {"try_limit": null, "conn_idle_ms": null}}"#;
+
+    let site = parse(text).expect("null is valid");
+
+    assert_eq!(site, parse("{}").expect("an empty object is valid"));
+}
+
+#[test]
+fn an_empty_class_is_the_default_class() {
+    let site = parse(r#"{"classes": [{}]}"#).expect("an empty class is valid");
+
+    assert_eq!(site.settings.classes, [RequestClass::default()]);
+    assert_eq!(site.names.classes, [""]);
+}
+
+#[test]
+fn an_empty_tenant_has_no_quota() {
+    let site = parse(r#"{"parties": [{}]}"#).expect("an empty tenant is valid");
+
+    assert_eq!(site.settings.tenants, [Tenant { quota_per_second: 0.0 }]);
+    assert_eq!(site.names.tenants, [""]);
+}
+
+#[test]
+fn milliseconds_out_of_range_become_the_nearest_duration() {
+    assert_eq!(duration_from_ms(1.5), Duration::from_micros(1500));
+    assert_eq!(duration_from_ms(0.0), Duration::ZERO);
+    assert_eq!(duration_from_ms(-1.0), Duration::ZERO);
+    assert_eq!(duration_from_ms(f64::NAN), Duration::ZERO);
+    assert_eq!(duration_from_ms(f64::INFINITY), Duration::MAX);
+    assert_eq!(duration_from_ms(1e300), Duration::MAX);
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -38,7 +38,7 @@
                 return Ok(());
             }
             Record::PowerOn { seed, settings } => {
-                let settings = balancer_settings::parse(settings).map_err(wrong)?.settings;
+                let settings = balancer_settings::parse(settings).map_err(|e| wrong(e.to_string()))?.settings;
                 let balancer =
                     Balancer::new(settings, *seed).map_err(|e| wrong(InvalidSettings(e).to_string()))?;
                 self.instances.insert(instance, balancer);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
     Action, AttemptIndex, Availability, CellId, ClassId, EndpointEntry, HardwareId, Outcome, RequestId,
     TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
-use balancer_settings::ms;
+use balancer_settings::duration_from_ms as ms;
 use std::time::Duration;
 
 /// What is wrong with a batch, and at which byte of it (the length field included).
