--- a/crates/settings/tests/mapping.rs
+++ b/crates/settings/tests/mapping.rs
@@ -37,32 +37,37 @@
     "worth_by": "work"
 }"#;
 
+fn expected_classes() -> Vec<RequestClass> {
+    let ms = Duration::from_millis;
+    vec![
+        RequestClass {
+            latency_objective: ms(101),
+            latency_objective_stretch: 1.5,
+            deadline: ms(102),
+            priority_weight: 2.5,
+            late_priority_weight: 0.35,
+            retry_safety: RetrySafety::Deduplicated { scope: DeduplicationScope::Cell, ttl: ms(103) },
+            streamed: true,
+        },
+        RequestClass {
+            latency_objective: ms(104),
+            latency_objective_stretch: 1.75,
+            deadline: ms(105),
+            priority_weight: 3.5,
+            late_priority_weight: 0.36,
+            retry_safety: RetrySafety::Idempotent,
+            streamed: false,
+        },
+    ]
+}
+
 fn expected_settings() -> Settings {
     let ms = Duration::from_millis;
     Settings {
         balancers: 7,
         index: 3,
         zone: ZoneId(2),
-        classes: vec![
-            RequestClass {
-                latency_objective: ms(101),
-                latency_objective_stretch: 1.5,
-                deadline: ms(102),
-                priority_weight: 2.5,
-                late_priority_weight: 0.35,
-                retry_safety: RetrySafety::Deduplicated { scope: DeduplicationScope::Cell, ttl: ms(103) },
-                streamed: true,
-            },
-            RequestClass {
-                latency_objective: ms(104),
-                latency_objective_stretch: 1.75,
-                deadline: ms(105),
-                priority_weight: 3.5,
-                late_priority_weight: 0.36,
-                retry_safety: RetrySafety::Idempotent,
-                streamed: false,
-            },
-        ],
+        classes: expected_classes(),
         tenants: vec![Tenant { quota_per_second: 11.5 }, Tenant { quota_per_second: 12.5 }],
         over_quota_weight: 0.45,
         weight_by_work: true,
