--- a/crates/testbed/shims/system_faults.c
+++ b/crates/testbed/shims/system_faults.c
@@ -1,8 +1,9 @@
 /*
- * Fails the network calls of a process now and then, in ways that their manual pages allow.
+ * Makes network calls of a process fail at random, in ways that their manual pages allow.
  *
- * Loaded with LD_PRELOAD. SYSTEM_FAULTS_PER_MILLE tells how many of a thousand calls fail, SYSTEM_FAULTS_SEED
- * which ones. Reads and writes are interrupted or short; accept, socket and connect lack resources for a moment.
+ * Loaded with LD_PRELOAD. SYSTEM_FAULTS_PER_MILLE states how many of a thousand calls fail, SYSTEM_FAULTS_SEED
+ * the seed that chooses them. Reads and writes are interrupted or short; accept, socket and connect lack resources
+ * for a moment.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -16,13 +17,13 @@
 
 static _Atomic uint64_t state;
 
-static uint64_t from_environment(const char *name, uint64_t otherwise)
+static uint64_t from_environment(const char *name, uint64_t fallback)
 {
     const char *value = getenv(name);
-    return value ? strtoull(value, NULL, 10) : otherwise;
+    return value ? strtoull(value, NULL, 10) : fallback;
 }
 
-/* A step of a Weyl sequence, mixed. */
+/* Advances a Weyl sequence and mixes its bits (SplitMix64). */
 static uint64_t next_random(void)
 {
     uint64_t value = atomic_fetch_add(&state, 0x9e3779b97f4a7c15u);
@@ -31,12 +32,13 @@
     return value ^ (value >> 31);
 }
 
-__attribute__((constructor)) static void begin(void)
+__attribute__((constructor)) static void seed_state(void)
 {
     atomic_store(&state, from_environment("SYSTEM_FAULTS_SEED", 1));
 }
 
-static int due(void)
+/* Draws whether the present call fails. */
+static int draw_fault(void)
 {
     static uint64_t per_mille = UINT64_MAX;
     if (per_mille == UINT64_MAX)
@@ -53,39 +55,40 @@
 #define FAIL(errors) fail(errors, sizeof(errors) / sizeof(errors[0]))
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-static size_t shortened(size_t length)
+/* Draws the length of a short read or write. */
+static size_t draw_short_length(size_t length)
 {
     return length > 1 ? 1 + next_random() % (length - 1) : length;
 }
 
 ssize_t recv(int descriptor, void *buffer, size_t length, int flags)
 {
-    if (due()) {
+    if (draw_fault()) {
         if (next_random() % 2) {
             errno = EINTR;
             return -1;
         }
-        length = shortened(length < 64 ? length : 64);
+        length = draw_short_length(length < 64 ? length : 64);
     }
     return REAL(recv)(descriptor, buffer, length, flags);
 }
 
 ssize_t send(int descriptor, const void *buffer, size_t length, int flags)
 {
-    if (due()) {
+    if (draw_fault()) {
         if (next_random() % 2) {
             errno = EINTR;
             return -1;
         }
-        length = shortened(length);
+        length = draw_short_length(length);
     }
     return REAL(send)(descriptor, buffer, length, flags);
 }
 
 ssize_t writev(int descriptor, const struct iovec *parts, int count)
 {
-    if (count > 0 && parts[0].iov_len > 0 && due()) {
-        struct iovec first = {parts[0].iov_base, shortened(parts[0].iov_len)};
+    if (count > 0 && parts[0].iov_len > 0 && draw_fault()) {
+        struct iovec first = {parts[0].iov_base, draw_short_length(parts[0].iov_len)};
         if (next_random() % 2) {
             errno = EINTR;
             return -1;
@@ -98,26 +101,26 @@
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
 {
     static const int errors[] = {EINTR, ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    return due() ? FAIL(errors) : REAL(accept4)(descriptor, address, length, flags);
+    return draw_fault() ? FAIL(errors) : REAL(accept4)(descriptor, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol)
 {
     static const int errors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    return due() ? FAIL(errors) : REAL(socket)(domain, type, protocol);
+    return draw_fault() ? FAIL(errors) : REAL(socket)(domain, type, protocol);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length)
 {
     static const int errors[] = {EINTR, EADDRNOTAVAIL, ENETUNREACH, ENOBUFS};
-    return due() ? FAIL(errors) : REAL(connect)(descriptor, address, length);
+    return draw_fault() ? FAIL(errors) : REAL(connect)(descriptor, address, length);
 }
 
-int epoll_wait(int descriptor, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int descriptor, struct epoll_event *events, int max_events, int timeout)
 {
-    if (due()) {
+    if (draw_fault()) {
         errno = EINTR;
         return -1;
     }
-    return REAL(epoll_wait)(descriptor, events, most, timeout);
+    return REAL(epoll_wait)(descriptor, events, max_events, timeout);
 }
--- a/crates/testbed/src/balancer_process.rs
+++ b/crates/testbed/src/balancer_process.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use std::ffi::OsString;
-use std::io::{self, BufRead, BufReader};
+use std::io::{self, BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -10,35 +10,67 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a start may take.
-const START_MOST: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two looks at the log of a process that starts.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// The seed of the first balancer; the others count up from it.
+const FIRST_SEED: u64 = 0x8c1f_30d2;
+/// The log field that holds the address on which a process serves.
+const LISTEN_FIELD: &str = "listen=";
 
 /// What a process is started with.
-pub struct Setup<'a> {
+pub struct ProcessOptions<'a> {
     /// The program.
     pub program: &'a Path,
-    /// Its number among the balancers, and how many there are.
+    /// The index of this balancer.
     pub index: usize,
     /// How many balancers there are.
     pub balancers: usize,
-    /// Where discovery's agent is.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The list known from before, in discovery's form.
-    pub known: &'a str,
-    /// Where its configuration is written.
+    /// The endpoint list known from before, in discovery's form.
+    pub cached_endpoints: &'a str,
+    /// The folder for its configuration file.
     pub folder: &'a Path,
-    /// What its environment holds besides.
+    /// Variables that are added to its environment.
     pub environment: &'a [(&'static str, OsString)],
 }
 
+impl ProcessOptions<'_> {
+    fn configuration_path(&self) -> PathBuf {
+        self.folder.join(format!("balancer-{}.json", self.index))
+    }
+
+    /// Renders the configuration file, in the platform's form. Fails if the cached endpoints are not JSON.
+    fn configuration(&self) -> io::Result<String> {
+        let cached_endpoints: serde_json::Value = serde_json::from_str(self.cached_endpoints)?;
+        let configuration = json!({
+            "name": format!("n{}", self.index),
+            "listen": "127.0.0.1:0",
+            "discovery": self.discovery,
+            "seed": format!("{:016x}", FIRST_SEED + self.index as u64),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": cached_endpoints,
+            "settings": {
+                "balancers": self.balancers, "me": self.index, "discovery": "automatic",
+                "classes": [{"name": "look", "aim_ms": 2000, "hard_limit_ms": 4000, "effect": "idempotent"}],
+                "failure_domains": ["a"], "skus": ["m"], "locality": 0,
+                "limits": {"conn_idle_ms": 5000, "connect_timeout_ms": 500, "try_limit": 4},
+                "parties": [{"name": "acme", "allowance_per_s": 100_000.0}],
+            },
+        });
+        Ok(configuration.to_string())
+    }
+}
+
 /// A signal to a process.
 #[derive(Clone, Copy, Debug)]
 pub enum Signal {
-    /// Read the configuration anew.
+    /// Reload the configuration.
     Hangup,
-    /// Stand still.
+    /// Pause.
     Stop,
-    /// Go on.
+    /// Resume.
     Continue,
 }
 
@@ -53,111 +85,103 @@
 }
 
 /// A running process; killed when dropped.
-pub struct Balancer {
+pub struct BalancerProcess {
     child: Child,
     discovery: SocketAddr,
-    configuration: PathBuf,
+    configuration_path: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
-    started: Instant,
+    started_at: Instant,
 }
 
-impl Balancer {
-    /// Starts one.
-    pub fn start(setup: &Setup<'_>) -> io::Result<Self> {
-        let known: serde_json::Value = serde_json::from_str(setup.known)?;
-        let configuration = setup.folder.join(format!("balancer-{}.json", setup.index));
-        let text = json!({
-            "name": format!("n{}", setup.index),
-            "listen": "127.0.0.1:0",
-            "discovery": setup.discovery,
-            "seed": format!("{:016x}", 0x8c1f_30d2_u64 + setup.index as u64),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": known,
-            "settings": {
-                "balancers": setup.balancers, "me": setup.index, "discovery": "automatic",
-                "classes": [{"name": "look", "aim_ms": 2000, "hard_limit_ms": 4000, "effect": "idempotent"}],
-                "failure_domains": ["a"], "skus": ["m"], "locality": 0,
-                "limits": {"conn_idle_ms": 5000, "connect_timeout_ms": 500, "try_limit": 4},
-                "parties": [{"name": "acme", "allowance_per_s": 100_000.0}],
-            },
-        });
-        std::fs::write(&configuration, text.to_string())?;
-        let started = Instant::now();
-        let mut child = Command::new(setup.program)
-            .env("NODE_CONFIG", &configuration)
+impl BalancerProcess {
+    /// Starts a process. Fails if its configuration cannot be written or the program cannot be run.
+    pub fn start(options: &ProcessOptions<'_>) -> io::Result<Self> {
+        let configuration_path = options.configuration_path();
+        std::fs::write(&configuration_path, options.configuration()?)?;
+        let started_at = Instant::now();
+        let mut child = Command::new(options.program)
+            .env("NODE_CONFIG", &configuration_path)
             .env("NODE_LOG", "info")
-            .envs(setup.environment.iter().cloned())
+            .envs(options.environment.iter().cloned())
             .stderr(Stdio::piped())
             .spawn()?;
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         if let Some(stderr) = child.stderr.take() {
             let log = Arc::clone(&log);
-            thread::spawn(move || {
-                for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    log.lock().unwrap_or_else(PoisonError::into_inner).push(line);
-                }
-            });
+            thread::spawn(move || collect_lines(stderr, &log));
         }
-        Ok(Self { child, discovery: setup.discovery, configuration, log, started })
+        Ok(Self { child, discovery: options.discovery, configuration_path, log, started_at })
     }
 
-    /// When it was started.
-    pub fn started(&self) -> Instant {
-        self.started
+    /// Returns when the process was started.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
-    /// Waits until it serves, and says where.
-    pub fn address(&mut self) -> io::Result<SocketAddr> {
+    /// Waits until the process serves and returns its address. Fails if it ends or is not ready in 20 s.
+    pub fn wait_until_serving(&mut self) -> io::Result<SocketAddr> {
         loop {
             let log = self.log();
-            let listen = log.iter().find_map(|line| line.split("listen=").nth(1));
-            if let Some(address) = listen.and_then(|rest| rest.split(' ').next()?.parse().ok()) {
+            if let Some(address) = log.iter().find_map(|line| listen_address(line)) {
                 return Ok(address);
             }
-            if self.child.try_wait()?.is_some() || self.started.elapsed() > START_MOST {
-                return Err(io::Error::other(format!("it does not serve: {log:?}")));
+            if self.child.try_wait()?.is_some() || self.started_at.elapsed() > START_TIMEOUT {
+                return Err(io::Error::other(format!("the balancer does not serve: {log:?}")));
             }
-            thread::sleep(Duration::from_millis(1));
+            thread::sleep(START_POLL_INTERVAL);
         }
     }
 
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
-        let process = self.child.id().to_string();
-        let sent = Command::new("kill").args(["-s", signal.name(), &process]).status()?;
-        if sent.success() { Ok(()) } else { Err(io::Error::other(format!("{signal:?} was not sent"))) }
+        let process_id = self.child.id().to_string();
+        let status = Command::new("kill").args(["-s", signal.name(), &process_id]).status()?;
+        if status.success() { Ok(()) } else { Err(io::Error::other(format!("{signal:?} was not sent"))) }
     }
 
-    /// Moves its discovery: another address in the configuration, and a signal.
-    pub fn move_discovery(&mut self, to: SocketAddr) -> io::Result<()> {
-        let text = std::fs::read_to_string(&self.configuration)?;
-        let moved = text.replacen(&self.discovery.to_string(), &to.to_string(), 1);
-        let new = self.configuration.with_extension("new");
-        std::fs::write(&new, moved)?;
-        std::fs::rename(&new, &self.configuration)?;
-        self.discovery = to;
+    /// Moves its discovery to another agent: changes the address in the configuration and has it reloaded.
+    pub fn move_discovery(&mut self, address: SocketAddr) -> io::Result<()> {
+        let old = std::fs::read_to_string(&self.configuration_path)?;
+        let new = old.replacen(&self.discovery.to_string(), &address.to_string(), 1);
+        let new_path = self.configuration_path.with_extension("new");
+        std::fs::write(&new_path, new)?;
+        std::fs::rename(&new_path, &self.configuration_path)?;
+        self.discovery = address;
         self.signal(Signal::Hangup)
     }
 
-    /// Its log so far.
+    /// Returns its log so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Kills it; whether it was still running.
+    /// Kills the process. Returns whether it was still running.
     pub fn kill(&mut self) -> io::Result<bool> {
-        let ran = self.child.try_wait()?.is_none();
+        let was_running = self.child.try_wait()?.is_none();
         self.child.kill()?;
         self.child.wait()?;
-        Ok(ran)
+        Ok(was_running)
     }
 }
 
-impl Drop for Balancer {
+impl Drop for BalancerProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended by itself or been killed before, and nobody is left to handle an error.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.configuration);
+        // The folder may have been removed already.
+        let _ = std::fs::remove_file(&self.configuration_path);
     }
 }
+
+fn collect_lines(stderr: impl Read, log: &Mutex<Vec<String>>) {
+    for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+        log.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+    }
+}
+
+/// Returns the address that a log line states, if it is that of a process that has begun to serve.
+fn listen_address(line: &str) -> Option<SocketAddr> {
+    let value = line.split(LISTEN_FIELD).nth(1)?;
+    value.split(' ').next()?.parse().ok()
+}
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends one request after another to one process of the balancer.
+//! A client that sends one request after another to a process of the balancer.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,106 +7,147 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The longest wait for an answer.
-const ANSWER_MOST: Duration = Duration::from_secs(10);
-/// Pause before another connection, when one has failed.
-const CONNECT_PAUSE: Duration = Duration::from_millis(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause before the next connection after one has failed.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(5);
+/// The length of a header line without content.
+const EMPTY_LINE_BYTES: usize = 2;
+const STATUS_OK: u16 = 200;
 
-/// Answers by status.
+/// How many requests ended in which way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Answers {
-    /// Served.
+pub struct ResponseCounts {
+    /// Responses with status 200.
     pub served: usize,
-    /// Refused or failed.
+    /// Responses with another status: rejected or failed.
     pub not_served: usize,
-    /// Never answered: the connection ended, or nothing came.
-    pub lost: usize,
+    /// Requests without a complete response.
+    pub unanswered: usize,
+}
+
+impl ResponseCounts {
+    /// Adds the counts of another client.
+    pub fn add(&mut self, other: Self) {
+        self.served += other.served;
+        self.not_served += other.not_served;
+        self.unanswered += other.unanswered;
+    }
 }
 
 /// A running client.
 pub struct Client {
     stop: Arc<AtomicBool>,
-    thread: JoinHandle<Answers>,
+    thread: JoinHandle<ResponseCounts>,
 }
 
 impl Client {
-    /// Starts one whose requests bear ids that begin with `sender`, each after a pause.
-    pub fn start(address: SocketAddr, sender: String, pause: Duration) -> Self {
+    /// Starts a client. The ids of its requests begin with `name`, and it pauses after each.
+    pub fn start(address: SocketAddr, name: String, pause: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = Arc::clone(&stop);
-        let thread = thread::spawn(move || {
-            let mut answers = Answers::default();
-            let mut number = 0;
-            while !stopped.load(Ordering::Relaxed) {
-                // A connection ends when the balancer is killed.
-                if converse(address, &sender, &mut number, pause, &stopped, &mut answers).is_err() {
-                    thread::sleep(CONNECT_PAUSE);
-                }
-            }
-            answers
-        });
+        let sender = RequestSender {
+            address,
+            name,
+            pause,
+            stop: Arc::clone(&stop),
+            last_request: 0,
+            counts: ResponseCounts::default(),
+        };
+        let thread = thread::spawn(move || sender.run());
         Self { stop, thread }
     }
 
-    /// Ends it and returns what it was answered.
-    pub fn stop(self) -> Answers {
+    /// Stops the client after its current request and returns its counts.
+    pub fn stop(self) -> ResponseCounts {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
     }
 }
 
-/// Sends requests on one connection until it ends or the client is stopped.
-fn converse(
+/// The client's thread.
+struct RequestSender {
     address: SocketAddr,
-    sender: &str,
-    number: &mut u64,
+    name: String,
     pause: Duration,
-    stopped: &AtomicBool,
-    answers: &mut Answers,
-) -> io::Result<()> {
-    let mut stream = TcpStream::connect(address)?;
-    stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(ANSWER_MOST))?;
-    let mut reader = BufReader::new(stream.try_clone()?);
-    while !stopped.load(Ordering::Relaxed) {
-        *number += 1;
-        let request = format!(
-            "GET /look HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {sender}-{number}\r\n\
-             X-Account: acme\r\nX-Time-Left-Ms: 3000\r\n\r\n"
-        );
-        stream.write_all(request.as_bytes())?;
-        match read_answer(&mut reader) {
-            Ok(200) => answers.served += 1,
-            Ok(_) => answers.not_served += 1,
-            Err(e) => {
-                answers.lost += 1;
-                return Err(e);
+    stop: Arc<AtomicBool>,
+    /// The number of the latest request.
+    last_request: u64,
+    counts: ResponseCounts,
+}
+
+impl RequestSender {
+    /// Sends requests, on a new connection whenever one has ended, until the client is stopped.
+    fn run(mut self) -> ResponseCounts {
+        while !self.is_stopped() {
+            // A connection ends when the balancer is killed.
+            if self.use_connection().is_err() {
+                thread::sleep(RECONNECT_PAUSE);
             }
         }
-        thread::sleep(pause);
+        self.counts
+    }
+
+    fn is_stopped(&self) -> bool {
+        self.stop.load(Ordering::Relaxed)
+    }
+
+    /// Sends requests on one connection until it ends or the client is stopped.
+    fn use_connection(&mut self) -> io::Result<()> {
+        let mut stream = TcpStream::connect(self.address)?;
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+        let mut reader = BufReader::new(stream.try_clone()?);
+        while !self.is_stopped() {
+            let request = self.next_request();
+            stream.write_all(request.as_bytes())?;
+            let status = read_response(&mut reader);
+            self.count(&status);
+            status?;
+            thread::sleep(self.pause);
+        }
+        Ok(())
+    }
+
+    fn next_request(&mut self) -> String {
+        self.last_request += 1;
+        format!(
+            "GET /look HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {}-{}\r\n\
+             X-Account: acme\r\nX-Time-Left-Ms: 3000\r\n\r\n",
+            self.name, self.last_request
+        )
+    }
+
+    fn count(&mut self, status: &io::Result<u16>) {
+        match status {
+            Ok(STATUS_OK) => self.counts.served += 1,
+            Ok(_) => self.counts.not_served += 1,
+            Err(_) => self.counts.unanswered += 1,
+        }
     }
-    Ok(())
 }
 
-/// Reads an answer and returns its status.
-fn read_answer(reader: &mut impl BufRead) -> io::Result<u16> {
-    let mut line = String::new();
-    reader.read_line(&mut line)?;
-    let status = line.split(' ').nth(1).and_then(|status| status.parse().ok());
+/// Reads a response with its body and returns its status.
+fn read_response(reader: &mut impl BufRead) -> io::Result<u16> {
+    let mut status_line = String::new();
+    reader.read_line(&mut status_line)?;
+    let status = status_line.split(' ').nth(1).and_then(|status| status.parse().ok());
     let status = status.ok_or(io::ErrorKind::UnexpectedEof)?;
+    let length = read_content_length(reader)?;
+    let mut body = vec![0; length];
+    reader.read_exact(&mut body)?;
+    Ok(status)
+}
+
+/// Reads the headers and returns the content length; 0 without one.
+fn read_content_length(reader: &mut impl BufRead) -> io::Result<usize> {
     let mut length = 0;
-    loop {
-        line.clear();
-        if reader.read_line(&mut line)? <= 2 {
-            break;
-        }
+    let mut line = String::new();
+    while reader.read_line(&mut line)? > EMPTY_LINE_BYTES {
         if let Some((name, value)) = line.split_once(':')
             && name.eq_ignore_ascii_case("content-length")
         {
             length = value.trim().parse().map_err(|_| io::ErrorKind::InvalidData)?;
         }
+        line.clear();
     }
-    let mut body = vec![0; length];
-    reader.read_exact(&mut body)?;
-    Ok(status)
+    Ok(length)
 }
--- a/crates/testbed/src/drain_rule.rs
+++ b/crates/testbed/src/drain_rule.rs
@@ -1,73 +1,93 @@
-//! The rule on servers that drain: none is sent to later than a grace after the balancer was told.
+//! The rule on draining servers: no request reaches one later than a grace period after the balancer was notified.
 
 use crate::servers::Arrival;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+/// Separates the name of the sending process from the rest of a correlation id.
+const PROCESS_SEPARATOR: char = '-';
+
 /// A time during which a group of servers drained.
 #[derive(Clone, Debug)]
-pub struct Drained {
+pub struct DrainPeriod {
     /// The group.
     pub group: usize,
-    /// When discovery's agent had it.
-    pub from: Instant,
-    /// When the group was ready again, if it was.
-    pub until: Option<Instant>,
+    /// When the registry had the group as draining.
+    pub began: Instant,
+    /// When the group was ready again; `None` while it drains.
+    pub ended: Option<Instant>,
+}
+
+impl DrainPeriod {
+    /// Whether the group was ready again at a time.
+    fn is_over_at(&self, at: Instant) -> bool {
+        self.ended.is_some_and(|ended| at >= ended)
+    }
+}
+
+/// A time during which a discovery agent delivered nothing.
+#[derive(Clone, Copy, Debug)]
+pub struct DiscoveryStall {
+    /// When the agent was stalled.
+    pub began: Instant,
+    /// When it was resumed.
+    pub ended: Instant,
 }
 
-/// When a process was started, and the times in which its agent was silent, each with its end.
+/// When a process of the balancer could be notified.
 #[derive(Clone, Debug)]
-pub struct Process {
-    /// Its start.
-    pub started: Instant,
-    /// Silences.
-    pub silences: Vec<(Instant, Instant)>,
+pub struct ProcessHistory {
+    /// The index of its balancer.
+    pub balancer: usize,
+    /// When it was started.
+    pub started_at: Instant,
+    /// The stalls of its agent, in order.
+    pub discovery_stalls: Vec<DiscoveryStall>,
 }
 
-impl Process {
-    /// When it counts as told of what discovery had at a time: at its start at the earliest, and not while its agent was
-    /// silent, which then learnt nothing.
-    fn told(&self, at: Instant) -> Instant {
-        let mut told = at.max(self.started);
-        for (from, until) in &self.silences {
-            if (*from..*until).contains(&told) {
-                told = *until;
+impl ProcessHistory {
+    /// Returns when the process counts as notified of a change: not before its start, and not while its agent was
+    /// stalled.
+    pub fn notified_at(&self, changed_at: Instant) -> Instant {
+        let mut notified_at = changed_at.max(self.started_at);
+        for stall in &self.discovery_stalls {
+            if (stall.began..stall.ended).contains(&notified_at) {
+                notified_at = stall.ended;
             }
         }
-        told
+        notified_at
     }
 }
 
-/// A request that reached a server too late.
+/// A request that reached a draining server too late.
 #[derive(Debug)]
-pub struct Breach {
+pub struct DrainViolation {
     /// The request.
     pub arrival: Arrival,
     /// The name of the process that sent it.
-    pub sender: String,
-    /// How long after its balancer was told.
-    pub after: Duration,
+    pub process: String,
+    /// Time from the notification of the process to the arrival.
+    pub delay: Duration,
 }
 
-/// The requests that broke the rule; `processes` are known by the sender's part of the id.
-pub fn breaches(
+/// Returns the requests that broke the rule. The part of a correlation id before the first `-` is the name of the
+/// process; requests of other senders are skipped.
+pub fn find_violations(
     arrivals: &[Arrival],
-    drained: &[Drained],
-    processes: &HashMap<String, Process>,
+    drain_periods: &[DrainPeriod],
+    processes: &HashMap<String, ProcessHistory>,
     grace: Duration,
-) -> Vec<Breach> {
-    let mut found = Vec::new();
+) -> Vec<DrainViolation> {
+    let mut violations = Vec::new();
     for arrival in arrivals {
-        let sender = arrival.correlation_id.split('-').next().unwrap_or_default();
-        let Some(process) = processes.get(sender) else { continue };
-        for times in drained.iter().filter(|times| times.group == arrival.group) {
-            let told = process.told(times.from);
-            let over = times.until.is_some_and(|until| arrival.at >= until);
-            let after = arrival.at.saturating_duration_since(told);
-            if !over && after > grace {
-                found.push(Breach { arrival: arrival.clone(), sender: sender.to_owned(), after });
+        let name = arrival.correlation_id.split(PROCESS_SEPARATOR).next().unwrap_or_default();
+        let Some(process) = processes.get(name) else { continue };
+        for period in drain_periods.iter().filter(|period| period.group == arrival.group) {
+            let delay = arrival.at.saturating_duration_since(process.notified_at(period.began));
+            if !period.is_over_at(arrival.at) && delay > grace {
+                violations.push(DrainViolation { arrival: arrival.clone(), process: name.to_owned(), delay });
             }
         }
     }
-    found
+    violations
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,22 +1,23 @@
-//! Stand-ins for what surrounds a balancer on real sockets: discovery's agent, servers and clients, on
-//! loopback, with faults drawn from a seed, and the rules that a balancer has to keep, checked against what
-//! the servers saw.
+//! Stand-ins for what surrounds a balancer on real sockets, on loopback, with faults drawn from a seed, and checks
+//! of the rules that a balancer has to keep, by what the servers received.
 //!
-//! A [`soak`] plays a fleet of any number of servers against processes of the balancer:
+//! A [`soak`] test runs a fleet of servers of any size against processes of the balancer:
 //!
-//! - [`registry`]: the list of servers, its versions and what changed in each;
-//! - [`agent`]: discovery, which tells the list in pieces, resets watches and ends them;
-//! - [`servers`]: groups of servers that note each request;
-//! - [`balancer`]: a process of the balancer, started and killed;
-//! - [`client`]: requests, one after another;
-//! - [`drain`]: which requests broke the rule on servers that drain;
-//! - [`shim`]: system calls of a balancer that fail.
+//! - [`registry`]: the list of servers, its versions and the changes of each;
+//! - [`shared_registry`]: the list as agents and the test share it;
+//! - [`agent`]: a discovery agent that delivers the list in chunks and breaks or stalls watches;
+//! - [`servers`]: groups of servers that record each request;
+//! - [`balancer_process`]: a process of the balancer, started and killed;
+//! - [`client`]: sends requests one after another;
+//! - [`drain_rule`]: finds requests that reached a draining server too late;
+//! - [`shim`]: makes system calls of a balancer fail.
 
 pub mod agent;
-pub mod balancer;
+pub mod balancer_process;
 pub mod client;
-pub mod drain;
+pub mod drain_rule;
 pub mod registry;
 pub mod servers;
+pub mod shared_registry;
 pub mod shim;
 pub mod soak;
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -1,5 +1,5 @@
-//! Groups of servers. All servers of a group share an address and a state, so that a few listeners stand in
-//! for thousands of servers; each request is noted with its group, its sender and its time.
+//! Groups of servers. All servers of a group share an address and a state, so that a few listeners stand in for
+//! thousands of servers. Each request is recorded with its group, its id and its time.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,16 +7,19 @@
 use std::thread;
 use std::time::Instant;
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+/// The length of a header line without content.
+const EMPTY_LINE_BYTES: usize = 2;
+const CORRELATION_ID_HEADER: &str = "x-correlation-id";
 
-/// A request that a server has read whole.
+/// A request that a server has read completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The server's group.
     pub group: usize,
-    /// Who sent it, as the client wrote it into the id.
+    /// The id that the client gave the request.
     pub correlation_id: String,
-    /// When.
+    /// When the server had read it.
     pub at: Instant,
 }
 
@@ -27,7 +30,7 @@
 }
 
 impl ServerGroups {
-    /// Starts so many groups.
+    /// Starts `count` groups on free ports. Fails if one cannot listen.
     pub fn start(count: usize) -> io::Result<Self> {
         let arrivals: Arc<Mutex<Vec<Arrival>>> = Arc::default();
         let mut addresses = Vec::with_capacity(count);
@@ -35,48 +38,54 @@
             let listener = TcpListener::bind("127.0.0.1:0")?;
             addresses.push(listener.local_addr()?);
             let arrivals = Arc::clone(&arrivals);
-            thread::spawn(move || {
-                for stream in listener.incoming().map_while(Result::ok) {
-                    let arrivals = Arc::clone(&arrivals);
-                    // It ends with its connection.
-                    thread::spawn(move || serve(&stream, group, &arrivals));
-                }
-            });
+            thread::spawn(move || accept_connections(&listener, group, &arrivals));
         }
         Ok(Self { addresses, arrivals })
     }
 
-    /// Where each group listens.
+    /// Returns the address of each group.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// The requests so far.
+    /// Returns the requests so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Answers requests without a body until the connection ends.
-fn serve(stream: &TcpStream, group: usize, arrivals: &Mutex<Vec<Arrival>>) -> io::Result<()> {
+/// Serves each connection in a thread of its own.
+fn accept_connections(listener: &TcpListener, group: usize, arrivals: &Arc<Mutex<Vec<Arrival>>>) {
+    for stream in listener.incoming().map_while(Result::ok) {
+        let arrivals = Arc::clone(arrivals);
+        thread::spawn(move || serve_connection(&stream, group, &arrivals));
+    }
+}
+
+/// Responds to requests without a body until the connection ends.
+fn serve_connection(stream: &TcpStream, group: usize, arrivals: &Mutex<Vec<Arrival>>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream);
-    loop {
-        let mut correlation_id = String::new();
-        let mut line = String::new();
-        while reader.read_line(&mut line)? > 2 {
-            if let Some((name, value)) = line.split_once(':')
-                && name.eq_ignore_ascii_case("x-correlation-id")
-            {
-                correlation_id = value.trim().to_owned();
-            }
-            line.clear();
-        }
-        if line.is_empty() {
-            return Ok(());
-        }
+    while let Some(correlation_id) = read_request(&mut reader)? {
         let arrival = Arrival { group, correlation_id, at: Instant::now() };
         arrivals.lock().unwrap_or_else(PoisonError::into_inner).push(arrival);
-        (&mut &*stream).write_all(ANSWER)?;
+        (&mut &*stream).write_all(RESPONSE)?;
+    }
+    Ok(())
+}
+
+/// Reads a request and returns its correlation id, empty without one; `None` if the connection has ended.
+fn read_request(reader: &mut impl BufRead) -> io::Result<Option<String>> {
+    let mut correlation_id = String::new();
+    let mut line = String::new();
+    while reader.read_line(&mut line)? > EMPTY_LINE_BYTES {
+        if let Some((name, value)) = line.split_once(':')
+            && name.eq_ignore_ascii_case(CORRELATION_ID_HEADER)
+        {
+            correlation_id = value.trim().to_owned();
+        }
+        line.clear();
     }
+    let has_ended = line.is_empty();
+    Ok((!has_ended).then_some(correlation_id))
 }
--- a/crates/testbed/src/shim.rs
+++ b/crates/testbed/src/shim.rs
@@ -1,4 +1,4 @@
-//! A library that fails system calls of a process, in ways that their documentation allows; built with the
+//! A library that makes system calls of a process fail in ways that their documentation allows. It is built with the
 //! system's C compiler when it is needed.
 
 use std::ffi::OsString;
@@ -11,9 +11,9 @@
 /// Which system calls of a process fail.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemFaults {
-    /// How many of a thousand.
+    /// How many of a thousand calls fail.
     pub per_mille: u32,
-    /// Which ones.
+    /// The seed that chooses the calls.
     pub seed: u64,
 }
 
@@ -24,18 +24,21 @@
 }
 
 impl Shim {
-    /// Builds the library in a folder.
+    /// Builds the library in a folder. Fails if the folder cannot be written or the compiler fails.
     pub fn build(folder: &Path) -> io::Result<Self> {
         let source = folder.join("system_faults.c");
         let library = folder.join("system_faults.so");
         std::fs::write(&source, SOURCE)?;
-        let mut compiler = Command::new("cc");
-        compiler.args(["-Wall", "-Wextra", "-O1", "-shared", "-fPIC", "-o"]);
-        let built = compiler.arg(&library).arg(&source).arg("-ldl").status()?;
-        if built.success() { Ok(Self { library }) } else { Err(io::Error::other("cc failed")) }
+        let status = Command::new("cc")
+            .args(["-Wall", "-Wextra", "-O1", "-shared", "-fPIC", "-o"])
+            .arg(&library)
+            .arg(&source)
+            .arg("-ldl")
+            .status()?;
+        if status.success() { Ok(Self { library }) } else { Err(io::Error::other(format!("cc: {status}"))) }
     }
 
-    /// What a process's environment has to hold for these faults.
+    /// Returns the environment variables that load the library into a process, with these faults.
     pub fn environment(&self, faults: SystemFaults) -> Vec<(&'static str, OsString)> {
         vec![
             ("LD_PRELOAD", self.library.clone().into_os_string()),
