--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -247,7 +247,7 @@
                 return Outcome::NotSent.into();
             }
             let request = request(outgoing, left);
-            let (written, length) = (connection.written(), wire_length(&request));
+            let (written, length) = (connection.bytes_written(), wire_length(&request));
             let before = written.get();
             let exchanged = {
                 let exchanged = timeout_at(give_up, exchange(&mut connection, request, &self.long_answers));
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -2,4 +2,5 @@
 
 pub mod attempt;
 pub mod connection;
+mod counting_stream;
 pub mod pool;
