--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -129,7 +129,7 @@
             if let Some(upstream) = known.remove(&id) {
                 upstream.ready.set(false);
             }
-            self.pool.close(id);
+            self.pool.close_idle(id);
             return;
         }
         let upstream = known.entry(id).or_insert_with(|| {
@@ -146,7 +146,7 @@
         upstream.ready.set(place.availability == Availability::Ready);
         // Connections to a process that is no more, or wants nothing new, serve nobody.
         if upstream.boot_ms.replace(place.boot_ms) != place.boot_ms || moved || !upstream.ready.get() {
-            self.pool.close(id);
+            self.pool.close_idle(id);
         }
     }
 
@@ -156,7 +156,7 @@
             let stays = listed(*id);
             if !stays {
                 upstream.ready.set(false);
-                self.pool.close(*id);
+                self.pool.close_idle(*id);
             }
             stays
         });
@@ -164,12 +164,12 @@
 
     /// Closes the idle connections to one.
     pub fn close_idle(&self, id: UpstreamId) {
-        self.pool.close(id);
+        self.pool.close_idle(id);
     }
 
     /// Closes what has been idle for long, again and again.
     pub async fn sweep(&self) {
-        self.pool.sweep().await;
+        self.pool.close_expired_periodically().await;
     }
 
     /// Keeps a connection for later, unless it leads to a process, that of `boot_ms`, which is no more.
@@ -194,7 +194,7 @@
                     return Ok((connection, true));
                 }
             }
-            match timeout_at(until, self.pool.slot(id)).await {
+            match timeout_at(until, self.pool.acquire_slot(id)).await {
                 Ok(Some(slot)) => break slot,
                 Ok(None) => {}
                 // Out of descriptors or of time says nothing of the upstream.
@@ -819,9 +819,9 @@
             let request = outgoing();
             let (ended, _stream) = tokio::join!(attempt(&upstreams, id, &request), answer);
             assert_eq!(ended.outcome, Outcome::Ok);
-            assert_eq!(upstreams.pool.open(), 1);
+            assert_eq!(upstreams.pool.open_connections(), 1);
         }
-        let _taken = upstreams.pool.slot(ID).await;
+        let _taken = upstreams.pool.acquire_slot(ID).await;
         let (_waits, mut awaited) = watch::channel(());
         let ended = upstreams
             .attempt(ID, &outgoing(), Instant::now() + Duration::from_millis(50), &mut awaited)
