--- a/crates/proxy/src/socket_io.rs
+++ b/crates/proxy/src/socket_io.rs
@@ -1,7 +1,7 @@
-//! Reads and writes on a stream that make no more of a result than the system says.
+//! Socket calls that handle interrupted and partial results.
 //!
-//! A call that was interrupted is made again. A read or write of fewer bytes than asked for is no sign that
-//! there are no more, or that no more are taken: the stream counts as ready until the system says otherwise.
+//! An interrupted call is repeated. A partial read or write does not clear the stream's readiness: it counts as
+//! ready until the kernel reports `WouldBlock`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Whether a call has to be made again, at once or when the stream is ready.
-fn again(error: &io::Error) -> bool {
+/// Whether a failed call has to be repeated, either at once or when the stream is ready again.
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Connects to a peer.
+/// Connects to a peer. Fails with the error of the connect call.
 pub async fn connect(peer: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(peer).await {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Reads once something has come; the number of bytes, 0 at the end of the stream.
+/// Reads available bytes into `buffer` and returns their number, which is 0 at the end of the stream.
 pub fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -38,13 +38,13 @@
                 buffer.advance(length);
                 return Poll::Ready(Ok(length));
             }
-            Err(e) if again(&e) => {}
+            Err(e) if is_retryable(&e) => {}
             Err(e) => return Poll::Ready(Err(e)),
         }
     }
 }
 
-/// Writes once the system takes something; the number of bytes that it has taken.
+/// Calls `write` when the stream is writable and returns the number of bytes that the kernel accepted.
 pub fn poll_write(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -53,7 +53,7 @@
     loop {
         ready!(stream.poll_write_ready(context))?;
         match write(stream) {
-            Err(e) if again(&e) => {}
+            Err(e) if is_retryable(&e) => {}
             written => return Poll::Ready(written),
         }
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -3,12 +3,12 @@
 //! That an attempt never ran is said only of what can be proved: no connection was made, the kernel did not
 //! take the request's last byte before the connection ended, or the upstream says so itself.
 
-use crate::headers::{self, LOAD, TIME_LEFT, UNPROCESSED};
+use crate::headers::{self, TIME_LEFT, UNPROCESSED};
 use crate::metrics::Metrics;
-use crate::rate_limited_log::RateLimitedLog;
 use crate::upstream::connection::{Connection, wire_length};
+use crate::upstream::load_report::LoadReportReader;
 use crate::upstream::pool::Pool;
-use balancer_core::{Availability, LoadField, LoadReporting, Outcome, Settings, UpstreamId};
+use balancer_core::{Availability, Outcome, Settings, UpstreamId};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Body;
@@ -100,9 +100,7 @@
     pool: Pool,
     long_answers: Room,
     connect_timeout: Duration,
-    reports: LoadReporting,
-    load_report_fields: Vec<LoadField>,
-    odd_reports: RateLimitedLog,
+    load_reports: LoadReportReader,
     metrics: Rc<Metrics>,
 }
 
@@ -115,9 +113,7 @@
             pool: Pool::new(most_open, settings.connection_idle_timeout.mul_f64(IDLE_SHARE)),
             long_answers: Room(Arc::new(AtomicUsize::new(long_answers))),
             connect_timeout: settings.connect_timeout,
-            reports: settings.load_reporting,
-            load_report_fields: settings.load_report_fields.clone(),
-            odd_reports: RateLimitedLog::default(),
+            load_reports: LoadReportReader::new(settings),
             metrics,
         }
     }
@@ -293,18 +289,17 @@
 
     /// Asks an upstream how it is.
     pub async fn probe(&self, id: UpstreamId) -> AttemptResult {
-        let target =
-            Uri::from_static(if self.reports == LoadReporting::Off { "/health/live" } else { "/stats" });
+        let target = Uri::from_static(if self.load_reports.is_enabled() { "/stats" } else { "/health/live" });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
         let outgoing = OutgoingRequest { method: Method::GET, target, headers, body: Bytes::new() };
         let (_waits, mut awaited) = watch::channel(());
         let mut ended = self.attempt(id, &outgoing, Instant::now() + PROBE_TIMEOUT, &mut awaited).await;
         if let Some(served) = &ended.served
-            && self.reports != LoadReporting::Off
+            && self.load_reports.is_enabled()
             && ended.report.is_empty()
         {
-            ended.report = self.read_report(&served.body);
+            ended.report = self.load_reports.read(&served.body);
         }
         ended
     }
@@ -312,8 +307,7 @@
     fn answered(&self, response: Response<Bytes>) -> AttemptResult {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
-        let load = headers.remove(LOAD).filter(|_| self.reports == LoadReporting::Inline);
-        let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
+        let report = self.load_reports.take_from_headers(&mut headers);
         let unprocessed = headers.get(UNPROCESSED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match parts.status {
             StatusCode::OK => Outcome::Ok,
@@ -324,16 +318,6 @@
         let served = (outcome == Outcome::Ok).then_some(UpstreamResponse { headers, body });
         AttemptResult { outcome, served, report }
     }
-
-    fn read_report(&self, text: &[u8]) -> Vec<f32> {
-        let read =
-            std::str::from_utf8(text).ok().and_then(|t| headers::load_report(t, &self.load_report_fields));
-        read.unwrap_or_else(|| {
-            let shown = || String::from_utf8_lossy(&text[..text.len().min(80)]).into_owned();
-            self.odd_reports.warn(|| format!("unreadable load report {:?}", shown()));
-            Vec::new()
-        })
-    }
 }
 
 /// Whether this machine was out of something that a connection takes, which says nothing of its peer.
--- /dev/null
+++ b/crates/proxy/src/upstream/load_report/tests.rs
@@ -0,0 +1,22 @@
+use super::*;
+
+const FIELDS: [LoadField; 2] = [LoadField::Queue, LoadField::InFlight];
+
+#[test]
+fn values_are_in_the_order_of_the_settings() {
+    assert_eq!(parse("inflight=7,queue=2,util=0.61", &FIELDS), Some(vec![2.0, 7.0]));
+}
+
+#[test]
+fn an_unreadable_value_is_nan_beside_readable_ones() {
+    let values = parse("depth=3, inflight=many", &FIELDS).unwrap();
+    assert_eq!(values[0], 3.0);
+    assert!(values[1].is_nan());
+}
+
+#[test]
+fn a_report_without_any_readable_value_is_unreadable() {
+    for report in ["", "queue", "queue=nan", "a=1", "=,=,=", "queue=inf"] {
+        assert_eq!(parse(report, &FIELDS), None, "{report}");
+    }
+}
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -3,4 +3,5 @@
 pub mod attempt;
 pub mod connection;
 mod counting_stream;
+mod load_report;
 pub mod pool;
