--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams as discovery words it, read into what the balancer knows of each.
 
 use crate::rate_limited_log::RateLimitedLog;
-use crate::upstream::attempt::EndpointState;
+use crate::upstream::EndpointState;
 use balancer_core::{Availability, CellId, HardwareId, UpdateScope, UpstreamId, ZoneId};
 use balancer_settings::Names;
 use serde::Deserialize;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -276,7 +276,7 @@
     use super::*;
     use crate::discovery::client::Discovery;
     use crate::discovery::endpoint_list::WatchEvent;
-    use crate::upstream::attempt::Upstreams;
+    use crate::upstream::Upstreams;
     use balancer_core::Balancer;
     use std::net::SocketAddr;
     use std::pin::pin;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::IncomingRequest;
 use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
-use crate::upstream::attempt::OutgoingRequest;
+use crate::upstream::OutgoingRequest;
 use balancer_core::{ClassId, RetrySafety, TenantId};
 use balancer_settings::Site;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -9,7 +9,7 @@
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::headers::CORRELATION_ID;
 use crate::metrics::{Metrics, ResponseKind};
-use crate::upstream::attempt::{AttemptResult, OutgoingRequest, UpstreamResponse, Upstreams};
+use crate::upstream::{AttemptResult, OutgoingRequest, UpstreamResponse, Upstreams};
 use balancer_core::{
     Action, AttemptIndex, Balancer, ClassId, EndpointEntry, Event, Outcome, RejectionReason, RequestId,
     TenantId, TimerId, UpdateScope, UpstreamId,
@@ -173,7 +173,7 @@
             metrics,
         });
         let sweeper = Rc::clone(&driver);
-        spawn_local(async move { sweeper.upstreams.sweep().await });
+        spawn_local(async move { sweeper.upstreams.close_expired_periodically().await });
         driver.happened(DriverEvent::EndpointUpdate(known));
         if !asks {
             driver.watch();
@@ -357,7 +357,7 @@
             Action::CheckHealth { upstream } => {
                 let (driver, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
-                    let ended = driver.upstreams.probe(upstream).await;
+                    let ended = driver.upstreams.check_health(upstream).await;
                     driver.happened(DriverEvent::HealthCheckEnded(upstream, sent.elapsed(), ended));
                 });
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -31,7 +31,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use tracing::level_filters::LevelFilter;
-use upstream::attempt::Upstreams;
+use upstream::Upstreams;
 
 /// After SIGTERM the front goes on dealing out new connections for 0.4 s at most, and clients go on using those
 /// that they have. They may until this balancer's neighbour, perhaps just started itself, has been taken in ...
--- /dev/null
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -0,0 +1,82 @@
+//! Checks connections out of the pool, or opens new ones, and checks them in again after use.
+
+use crate::upstream::connection::Connection;
+use crate::upstream::set::{Upstream, Upstreams};
+use balancer_core::{Outcome, UpstreamId};
+use std::io;
+use tokio::time::{Instant, timeout_at};
+
+/// A connection in use by one attempt.
+pub struct CheckedOut {
+    /// The connection.
+    pub connection: Connection,
+    /// Whether it has carried requests before.
+    pub reused: bool,
+    /// The start time of the upstream's process, as known when the connection was asked for.
+    boot_ms: u64,
+}
+
+impl Upstreams {
+    /// Checks out a connection to an upstream: an idle one if there is any, otherwise a new one. The wait for a
+    /// slot and the connect end at `deadline`, and together take no longer than the connect timeout. Fails with
+    /// the outcome of the attempt.
+    pub(super) async fn check_out(
+        &self,
+        id: UpstreamId,
+        upstream: &Upstream,
+        deadline: Instant,
+    ) -> Result<CheckedOut, Outcome> {
+        let boot_ms = upstream.boot_ms.get();
+        let connect_deadline = deadline.min(Instant::now() + self.connect_timeout);
+        let slot = loop {
+            if let Some(connection) = self.take_usable(id).await {
+                return Ok(CheckedOut { connection, reused: true, boot_ms });
+            }
+            match timeout_at(connect_deadline, self.pool.acquire_slot(id)).await {
+                Ok(Some(slot)) => break slot,
+                Ok(None) => {}
+                // A lack of slots or of time on this side says nothing about the upstream.
+                Err(_) => return Err(Outcome::NotSent),
+            }
+        };
+        let Some(endpoint) = upstream.endpoint.get() else { return Err(Outcome::NotSent) };
+        match timeout_at(connect_deadline, Connection::open(endpoint, slot)).await {
+            Ok(Ok(connection)) => Ok(CheckedOut { connection, reused: false, boot_ms }),
+            Ok(Err(error)) if is_local_shortage(&error) => Err(Outcome::NotSent),
+            Ok(Err(error)) => {
+                tracing::debug!(%endpoint, %error, "connect failed");
+                Err(Outcome::ConnectFailed)
+            }
+            Err(_) if connect_deadline == deadline => Err(Outcome::NotSent),
+            Err(_) => Err(Outcome::ConnectFailed),
+        }
+    }
+
+    /// Takes an idle connection that can carry a request.
+    async fn take_usable(&self, id: UpstreamId) -> Option<Connection> {
+        while let Some(mut connection) = self.pool.take(id) {
+            if connection.is_usable().await {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Returns a connection to the pool. Closes it instead if the upstream takes no requests any more, has moved,
+    /// or has restarted since the connection was asked for.
+    pub(super) fn check_in(&self, id: UpstreamId, upstream: &Upstream, checked_out: CheckedOut) {
+        let CheckedOut { connection, boot_ms, .. } = checked_out;
+        let same_process = upstream.boot_ms.get() == boot_ms;
+        let same_endpoint = upstream.endpoint.get() == Some(connection.peer());
+        if upstream.ready.get() && same_process && same_endpoint {
+            self.pool.put(id, connection);
+        }
+    }
+}
+
+/// Whether a connection failed for lack of a resource of this machine, which says nothing about the peer.
+fn is_local_shortage(error: &io::Error) -> bool {
+    // By number, because most of these have no `io::ErrorKind` of their own.
+    use libc::{EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM};
+    matches!(error.raw_os_error(), Some(ENOMEM | ENFILE | EMFILE | EADDRNOTAVAIL | ENOBUFS))
+}
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,7 +1,17 @@
-//! Upstreams: connections to them, attempts and health checks.
+//! Upstreams: the known ones, the connections to them, attempts and health checks.
 
-pub mod attempt;
+pub use attempt::{AttemptResult, UpstreamResponse};
+pub use request::OutgoingRequest;
+pub use set::{EndpointState, Upstreams};
+
+mod attempt;
+mod checkout;
 pub mod connection;
 mod counting_stream;
+mod exchange;
+mod health_check;
 mod load_report;
-pub mod pool;
+mod pool;
+mod request;
+mod response_body;
+mod set;
