--- a/crates/proxy/src/upstream/checkout.rs
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -6,6 +6,9 @@
 use std::io;
 use tokio::time::{Instant, timeout_at};
 
+#[cfg(test)]
+mod tests;
+
 /// A connection in use by one attempt.
 pub struct CheckedOut {
     /// The connection.
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -10,6 +10,9 @@
 use std::error::Error;
 use std::io;
 
+#[cfg(test)]
+mod tests;
+
 type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Why an exchange produced no response that can be forwarded.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -15,3 +15,5 @@
 mod request;
 mod response_body;
 mod set;
+#[cfg(test)]
+mod test_support;
--- a/crates/proxy/src/upstream/response_body.rs
+++ b/crates/proxy/src/upstream/response_body.rs
@@ -7,6 +7,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+#[cfg(test)]
+mod tests;
+
 /// The longest response body that is accepted. Some upstreams send bodies of several hundred KiB.
 pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// The longest response body that needs no reservation in the budget for large bodies.
--- /dev/null
+++ b/crates/proxy/src/upstream/response_body/tests.rs
@@ -0,0 +1,73 @@
+use super::*;
+use crate::upstream::test_support::{Fixture, LONG_TIMEOUT, MAX_LENGTH_BODIES_IN_BUDGET, UPSTREAM, respond};
+use balancer_core::Outcome;
+use tokio::task::yield_now;
+use tokio::time::{Instant, timeout_at};
+
+const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const LAST_CHUNK: &str = "0\r\n\r\n";
+
+fn chunk(length: usize) -> String {
+    format!("{length:x}\r\n{}\r\n", "y".repeat(length))
+}
+
+/// Responses with and without a stated length, in turn.
+#[tokio::test(flavor = "local")]
+async fn large_bodies_are_accepted_while_the_budget_lasts_and_release_it_when_dropped() {
+    let fixture = Fixture::with_max_connections(8).await;
+    let body = "y".repeat(MAX_BODY_BYTES);
+    let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let chunked = format!("{CHUNKED_HEAD}{}{LAST_CHUNK}", chunk(MAX_BODY_BYTES));
+    let mut held_responses = Vec::new();
+    for n in 0..10 {
+        fixture.upstreams.close_idle(UPSTREAM);
+        let response = if n % 2 == 0 { &with_length } else { &chunked };
+        let (result, ()) = tokio::join!(fixture.attempt(UPSTREAM), async {
+            drop(fixture.accept_and_respond_until_closed(response).await);
+        });
+
+        let budget_exhausted = (4..=5).contains(&n);
+        if budget_exhausted {
+            assert_eq!(result.outcome, Outcome::Error, "{n}");
+        } else {
+            let response = result.served.expect("the budget suffices");
+            assert_eq!(response.body.len(), MAX_BODY_BYTES);
+            held_responses.push(response);
+        }
+        if n == 5 {
+            held_responses.clear();
+        }
+    }
+}
+
+#[tokio::test(flavor = "local")]
+async fn a_large_body_without_a_stated_length_reserves_the_maximum_while_it_is_received() {
+    let fixture = Fixture::with_max_connections(8).await;
+    let budget = &fixture.upstreams.large_body_budget;
+    let all_but_one = (MAX_LENGTH_BODIES_IN_BUDGET - 1) * MAX_BODY_BYTES;
+    let _other_bodies = budget.reserve(all_but_one).expect("the budget is unused");
+    let body_length = 2 * SMALL_BODY_BYTES;
+    let beginning = format!("{CHUNKED_HEAD}{}", chunk(body_length));
+
+    let first = fixture.spawn_attempt(UPSTREAM);
+    let mut first_stream = fixture.accept_request().await;
+    respond(&mut first_stream, &beginning).await;
+    let budget_exhausted = async {
+        while budget.reserve(1).is_some() {
+            yield_now().await;
+        }
+    };
+    timeout_at(Instant::now() + LONG_TIMEOUT, budget_exhausted).await.expect("the maximum is reserved");
+
+    let whole_response = format!("{beginning}{LAST_CHUNK}");
+    let (second, ()) = tokio::join!(fixture.attempt(UPSTREAM), async {
+        drop(fixture.accept_and_respond_until_closed(&whole_response).await);
+    });
+    assert_eq!(second.outcome, Outcome::Error, "the budget is exhausted");
+
+    respond(&mut first_stream, LAST_CHUNK).await;
+    let response = first.await.unwrap().served.expect("the first has its reservation");
+    assert_eq!(response.body.len(), body_length);
+    let rest = budget.reserve(MAX_BODY_BYTES - body_length);
+    assert!(rest.is_some(), "what the first did not need is released");
+}
