--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -256,7 +256,7 @@
                 tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, ?latency, outcome = ?ended.outcome);
                 self.metrics.attempt_ended(ended.outcome.into());
                 // A second copy's answer comes to a request that is over: it is dropped.
-                if let Some(served) = ended.served
+                if let Some(served) = ended.response
                     && let Some(reply) = held.reply.take()
                 {
                     self.reply(id, reply, FinalResponse::Served(served));
@@ -269,7 +269,7 @@
                     outcome: ended.outcome,
                     latency,
                     request_finished: finished,
-                    load_report: &ended.report,
+                    load_report: &ended.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
                 self.forget_if_over(core, id);
@@ -279,7 +279,7 @@
                     upstream,
                     outcome: ended.outcome,
                     latency,
-                    load_report: &ended.report,
+                    load_report: &ended.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
--- a/crates/proxy/src/socket_io.rs
+++ b/crates/proxy/src/socket_io.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Reads available bytes into `buffer` and returns their number, which is 0 at the end of the stream.
+/// Reads available bytes into `buffer` and returns their number, which is 0 at the end of the stream. Fails
+/// if the connection has broken.
 pub fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -44,7 +45,8 @@
     }
 }
 
-/// Calls `write` when the stream is writable and returns the number of bytes that the kernel accepted.
+/// Calls `write` when the stream is writable and returns the number of bytes that the kernel
+/// accepted. Fails if the connection has broken.
 pub fn poll_write(
     stream: &TcpStream,
     context: &mut Context<'_>,
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -34,14 +34,14 @@
     /// The outcome.
     pub outcome: Outcome,
     /// The response, with [`Outcome::Ok`] only.
-    pub served: Option<UpstreamResponse>,
+    pub response: Option<UpstreamResponse>,
     /// The values of the load report, in the order of the settings. Empty if there was none.
-    pub report: Vec<f32>,
+    pub load_report: Vec<f32>,
 }
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, served: None, report: Vec::new() }
+        Self { outcome, response: None, load_report: Vec::new() }
     }
 }
 
@@ -163,14 +163,15 @@
         }
     }
 
-    fn result_of_response(&self, response: Response<Bytes>) -> AttemptResult {
-        let (head, body) = response.into_parts();
+    /// The result of an attempt that got a complete response.
+    fn result_of_response(&self, http_response: Response<Bytes>) -> AttemptResult {
+        let (head, body) = http_response.into_parts();
         let mut headers = head.headers;
-        let report = self.load_reports.take_from_headers(&mut headers);
+        let load_report = self.load_reports.take_from_headers(&mut headers);
         let outcome = outcome_of_response(head.status, &headers);
         headers::strip_hop_by_hop(&mut headers);
-        let served = (outcome == Outcome::Ok).then_some(UpstreamResponse { headers, body });
-        AttemptResult { outcome, served, report }
+        let response = (outcome == Outcome::Ok).then_some(UpstreamResponse { headers, body });
+        AttemptResult { outcome, response, load_report }
     }
 }
 
--- a/crates/proxy/src/upstream/checkout/tests.rs
+++ b/crates/proxy/src/upstream/checkout/tests.rs
@@ -84,7 +84,7 @@
     let (result, _new_stream) =
         timeout_at(Instant::now() + LONG_TIMEOUT, next).await.expect("a new connection");
 
-    assert_eq!(&result.served.expect("a response").body[..], b"new");
+    assert_eq!(&result.response.expect("a response").body[..], b"new");
     // Waits for the end of the old connection, which may be a reset.
     let _ = old_stream.read(&mut [0; 1]).await;
 }
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -28,11 +28,11 @@
         let (_requester, mut abandoned) = watch::channel(());
         let deadline = Instant::now() + HEALTH_CHECK_TIMEOUT;
         let mut result = self.attempt(id, &request, deadline, &mut abandoned).await;
-        if let Some(response) = &result.served
+        if let Some(response) = &result.response
             && self.load_reports.is_enabled()
-            && result.report.is_empty()
+            && result.load_report.is_empty()
         {
-            result.report = self.load_reports.read(&response.body);
+            result.load_report = self.load_reports.read(&response.body);
         }
         result
     }
--- a/crates/proxy/src/upstream/response_body/tests.rs
+++ b/crates/proxy/src/upstream/response_body/tests.rs
@@ -30,7 +30,7 @@
         if budget_exhausted {
             assert_eq!(result.outcome, Outcome::Error, "{n}");
         } else {
-            let response = result.served.expect("the budget suffices");
+            let response = result.response.expect("the budget suffices");
             assert_eq!(response.body.len(), MAX_BODY_BYTES);
             held_responses.push(response);
         }
@@ -66,7 +66,7 @@
     assert_eq!(second.outcome, Outcome::Error, "the budget is exhausted");
 
     respond(&mut first_stream, LAST_CHUNK).await;
-    let response = first.await.unwrap().served.expect("the first has its reservation");
+    let response = first.await.unwrap().response.expect("the first has its reservation");
     assert_eq!(response.body.len(), body_length);
     let rest = budget.reserve(MAX_BODY_BYTES - body_length);
     assert!(rest.is_some(), "what the first did not need is released");
