--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -9,7 +9,7 @@
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::headers::CORRELATION_ID;
 use crate::metrics::{Metrics, ResponseKind};
-use crate::upstream::attempt::{AttemptResult, OutgoingRequest, UpstreamResponse, Upstreams};
+use crate::upstream::{AttemptResult, OutgoingRequest, UpstreamResponse, Upstreams};
 use balancer_core::{
     Action, AttemptIndex, Balancer, ClassId, EndpointEntry, Event, Outcome, RejectionReason, RequestId,
     TenantId, TimerId, UpdateScope, UpstreamId,
@@ -173,7 +173,7 @@
             metrics,
         });
         let sweeper = Rc::clone(&driver);
-        spawn_local(async move { sweeper.upstreams.sweep().await });
+        spawn_local(async move { sweeper.upstreams.close_expired_periodically().await });
         driver.happened(DriverEvent::EndpointUpdate(known));
         if !asks {
             driver.watch();
@@ -256,7 +256,7 @@
                 tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, ?latency, outcome = ?ended.outcome);
                 self.metrics.attempt_ended(ended.outcome.into());
                 // A second copy's answer comes to a request that is over: it is dropped.
-                if let Some(served) = ended.served
+                if let Some(served) = ended.response
                     && let Some(reply) = held.reply.take()
                 {
                     self.reply(id, reply, FinalResponse::Served(served));
@@ -269,7 +269,7 @@
                     outcome: ended.outcome,
                     latency,
                     request_finished: finished,
-                    load_report: &ended.report,
+                    load_report: &ended.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
                 self.forget_if_over(core, id);
@@ -279,7 +279,7 @@
                     upstream,
                     outcome: ended.outcome,
                     latency,
-                    load_report: &ended.report,
+                    load_report: &ended.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
@@ -357,7 +357,7 @@
             Action::CheckHealth { upstream } => {
                 let (driver, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
-                    let ended = driver.upstreams.probe(upstream).await;
+                    let ended = driver.upstreams.check_health(upstream).await;
                     driver.happened(DriverEvent::HealthCheckEnded(upstream, sent.elapsed(), ended));
                 });
             }
