--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,50 +1,89 @@
-//! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
+//! The configuration of the process: the JSON file that the environment variable `NODE_CONFIG` names.
 
 use balancer_settings::Site;
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use std::fmt;
+use std::io;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
+use std::path::PathBuf;
+use thiserror::Error;
 
-/// Descriptors kept for what is neither a client nor an upstream: standard streams, the poller, the
-/// listener, signals, discovery's calls.
+#[cfg(test)]
+mod tests;
+
+/// The environment variable that names the configuration file.
+const PATH_VARIABLE: &str = "NODE_CONFIG";
+/// Descriptors kept for what is neither a client nor an upstream connection: standard streams, the poller, the
+/// listener, signals and calls to discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// Part of the rest that connections to upstreams may take.
-const UPSTREAM_PART: f64 = 0.45;
-/// One part of so many of the memory may hold long answers; reading one takes it twice for a moment.
-const LONG_ANSWERS_PART: usize = 5;
+/// Fraction of the other descriptors that connections to upstreams may use; clients get the rest.
+const UPSTREAM_SOCKET_FRACTION: f64 = 0.45;
+/// Buffered responses may use one part in this many of the memory. Reading a response holds it twice for a moment.
+const BUFFERED_RESPONSE_MEMORY_DIVISOR: usize = 5;
+const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
 
-/// A balancer's configuration.
+/// The configuration of a proxy.
 #[derive(Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of all chance.
+    /// The seed of the balancer's random generator.
     pub seed: u64,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: Limits,
-    /// The upstreams last known, in discovery's form; empty if none are.
-    pub known: String,
-    /// The settings of the site.
+    /// The last known endpoint list in discovery's JSON form; empty if there is none.
+    pub known_endpoints: String,
+    /// The balancer's settings, with the names of classes and tenants.
     pub site: Site,
 }
 
-/// Why no balancer can start.
-#[derive(Debug)]
-pub struct ConfigError(String);
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why the configuration can't be loaded.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The environment names no configuration file.
+    #[error("{PATH_VARIABLE} names no configuration file")]
+    PathNotSet,
+    /// The file can't be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The configuration file.
+        path: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The file holds no valid configuration.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The configuration file.
+        path: PathBuf,
+        /// The field that is invalid, and why.
+        source: InvalidConfig,
+    },
 }
 
-impl std::error::Error for ConfigError {}
+/// Why a text is no valid configuration. Each message names the field.
+#[derive(Debug, Error)]
+pub enum InvalidConfig {
+    /// The text is no JSON object with the required fields.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// `seed` is no hexadecimal number of 64 bits.
+    #[error("seed: {0}")]
+    Seed(#[from] ParseIntError),
+    /// `settings` can't be read.
+    #[error("{0}")]
+    Settings(String),
+    /// `limits.sockets` leaves too few descriptors for clients and upstreams.
+    #[error("limits.sockets: {0} are too few")]
+    TooFewSockets(usize),
+}
 
+/// The file's JSON object. Fields that are not listed are ignored.
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct RawConfig<'a> {
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
@@ -56,15 +95,15 @@
     settings: &'a RawValue,
 }
 
-/// What the platform lets a balancer use.
+/// The resources that the process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Cores, or the part of one.
+    /// CPU cores; may be a fraction.
     pub cores: f64,
-    /// Memory.
+    /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
 }
 
@@ -75,75 +114,48 @@
 }
 
 impl Config {
-    /// Reads the file that `NODE_CONFIG` names.
+    /// Reads the file that `NODE_CONFIG` names. Fails if the variable is not set, or if the file can't be read or
+    /// holds no valid configuration.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var_os("NODE_CONFIG")
-            .ok_or_else(|| ConfigError("NODE_CONFIG names no configuration file".into()))?;
-        let shown = path.to_string_lossy();
-        let text = std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("{shown}: {e}")))?;
-        Self::parse(&text).map_err(|e| ConfigError(format!("{shown}: {e}")))
+        let path = std::env::var_os(PATH_VARIABLE).map(PathBuf::from).ok_or(ConfigError::PathNotSet)?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
+        Self::parse(&text).map_err(|source| ConfigError::Invalid { path, source })
     }
 
-    fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: Raw<'_> = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
-        let seed = u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
-        let site = balancer_settings::parse(raw.settings.get()).map_err(ConfigError)?;
+    fn parse(text: &str) -> Result<Self, InvalidConfig> {
+        let raw: RawConfig<'_> = serde_json::from_str(text)?;
+        let seed = u64::from_str_radix(&raw.seed, 16)?;
+        let site = balancer_settings::parse(raw.settings.get())
+            .map_err(|error| InvalidConfig::Settings(error.to_string()))?;
         if raw.limits.sockets < 2 * RESERVED_SOCKETS {
-            return Err(ConfigError(format!("limits.sockets: {} are too few", raw.limits.sockets)));
+            return Err(InvalidConfig::TooFewSockets(raw.limits.sockets));
         }
         Ok(Self {
             listen: raw.listen,
             discovery: raw.discovery,
             seed,
             limits: raw.limits,
-            known: raw.known.map_or_else(String::new, |k| k.get().to_owned()),
+            known_endpoints: raw.known.map_or_else(String::new, |known| known.get().to_owned()),
             site,
         })
     }
 
-    /// How many connections to upstreams may be open.
-    pub fn upstream_connections(&self) -> usize {
-        ((self.limits.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_PART) as usize
+    /// The number of connections to upstreams that may be open.
+    pub fn max_upstream_connections(&self) -> usize {
+        ((self.limits.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_SOCKET_FRACTION) as usize
     }
 
-    /// How many bytes the long answers in hand may hold.
-    pub fn long_answers(&self) -> usize {
-        (self.limits.memory_mb as usize).saturating_mul(1024 * 1024) / LONG_ANSWERS_PART
+    /// The number of client connections that may be open.
+    pub fn max_client_connections(&self) -> usize {
+        self.limits.sockets - RESERVED_SOCKETS - self.max_upstream_connections()
     }
 
-    /// How many clients' connections may be open.
-    pub fn client_connections(&self) -> usize {
-        self.limits.sockets - RESERVED_SOCKETS - self.upstream_connections()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
-        "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
-
-    #[test]
-    fn the_descriptors_are_shared_out_within_the_limit() {
-        let config = Config::parse(GOOD).unwrap();
-        assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-        let out = config.upstream_connections() + config.client_connections() + RESERVED_SOCKETS;
-        assert_eq!(out, 1024);
-        assert!(config.known.contains("targets"));
-    }
-
-    #[test]
-    fn what_is_wrong_is_named() {
-        for (from, to, named) in [
-            ("127.0.0.1:9", "nowhere", "socket address"),
-            ("8c1f", "zzzz", "seed"),
-            ("1024", "20", "sockets"),
-            ("idempotent", "maybe", "maybe"),
-        ] {
-            let error = Config::parse(&GOOD.replace(from, to)).unwrap_err().to_string();
-            assert!(error.contains(named), "{error}");
-        }
+    /// The number of bytes that long responses may hold together while they are buffered.
+    pub fn max_buffered_response_bytes(&self) -> usize {
+        let memory_bytes = (self.limits.memory_mb as usize).saturating_mul(BYTES_PER_MEGABYTE);
+        memory_bytes / BUFFERED_RESPONSE_MEMORY_DIVISOR
     }
 }
--- /dev/null
+++ b/crates/proxy/src/config/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+
+const VALID: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
+    "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
+
+#[test]
+fn descriptors_are_divided_within_the_limit() {
+    let config = Config::parse(VALID).unwrap();
+
+    assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
+    let total = config.max_upstream_connections() + config.max_client_connections() + RESERVED_SOCKETS;
+    assert_eq!(total, 1024);
+    assert!(config.known_endpoints.contains("targets"));
+}
+
+#[test]
+fn an_error_names_the_invalid_field_or_value() {
+    for (valid, invalid, named) in [
+        ("127.0.0.1:9", "nowhere", "socket address"),
+        ("8c1f", "zzzz", "seed"),
+        ("1024", "20", "sockets"),
+        ("idempotent", "maybe", "maybe"),
+    ] {
+        let error = Config::parse(&VALID.replace(valid, invalid)).unwrap_err().to_string();
+        assert!(error.contains(named), "{error}");
+    }
+}
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -3,6 +3,7 @@
 use crate::downstream::connection::{Client, ClientState, ClientStream, left};
 use crate::downstream::request::{OpenId, RequestError, Requests};
 use crate::driver::{Driver, FinalResponse, IncomingRequest};
+use crate::lifecycle::LifecyclePhase;
 use crate::rate_limited_log::RateLimitedLog;
 use balancer_settings::Site;
 use bytes::Bytes;
@@ -36,18 +37,6 @@
 /// Size of a connection's buffer, the longest head.
 const BUFFER: usize = 32 * 1024;
 
-/// How far the end of this process has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifecyclePhase {
-    /// Not at all.
-    Serving,
-    /// Not ready any more. All else goes on for a moment: clients that keep their connections need no other
-    /// balancer yet, and the one that is to take them may only just have started itself.
-    LameDuck,
-    /// Nothing new is accepted; connections end between requests.
-    Draining,
-}
-
 /// What clients reach.
 pub struct Server {
     driver: Rc<Driver>,
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals to this process.
+//! Process signals.
 //!
-//! A handler sets a flag, and the flag is looked at again and again. Nothing has to be written between the two:
-//! a write can fail, and a signal would be lost with it.
+//! A signal handler sets a flag, and [`SignalFlag::received`] polls it. A pipe between the two could fail to be
+//! written, and the signal would be lost.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::ffi::c_int;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the flag is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// How often a flag is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The flag of one signal. It ends no process from its registration on.
+/// A flag that one signal sets. Once registered, the signal no longer ends the process.
 pub struct SignalFlag(Arc<AtomicBool>);
 
 impl SignalFlag {
-    /// That of SIGTERM, a planned end.
+    /// Registers SIGTERM, which requests a graceful shutdown. Fails if the system registers no handler.
     pub fn terminate() -> io::Result<Self> {
         Self::register(SIGTERM)
     }
 
-    /// That of SIGHUP, a new configuration.
+    /// Registers SIGHUP, which requests a reload of the configuration. Fails if the system registers no handler.
     pub fn hangup() -> io::Result<Self> {
         Self::register(SIGHUP)
     }
@@ -34,10 +34,10 @@
         Ok(Self(flag))
     }
 
-    /// Waits until the signal has come since the last time; several at once count as one.
-    pub async fn raised(&self) {
+    /// Waits until the signal has arrived since the last call; several signals in between count as one.
+    pub async fn received(&self) {
         while !self.0.swap(false, Ordering::SeqCst) {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/startup.rs
@@ -0,0 +1,160 @@
+//! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept clients.
+
+use crate::config::{Config, ConfigError};
+use crate::discovery::client::{Discovery, Progress};
+use crate::downstream::listener::Server;
+use crate::driver::Driver;
+use crate::lifecycle::LifecyclePhase;
+use crate::metrics::Metrics;
+use crate::reload::reload_on_hangup;
+use crate::signals::SignalFlag;
+use crate::upstream::attempt::Upstreams;
+use balancer_core::Balancer;
+use balancer_settings::InvalidSettings;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::sync::watch;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{sleep, timeout};
+
+/// How long a new process waits for discovery's first complete message before it serves the configured list. A long
+/// list takes time to read.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long it waits while nothing arrives from discovery, whose agent is on this machine.
+const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How often the address is tried: what occupies it may go away in a moment.
+const BIND_ATTEMPTS: usize = 20;
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// Why a proxy can't start.
+#[derive(Debug, Error)]
+pub enum StartupError {
+    /// The configuration can't be loaded.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The balancer rejects the settings.
+    #[error(transparent)]
+    Settings(#[from] InvalidSettings),
+    /// The listening address can't be bound.
+    #[error("listen on {address}: {source}")]
+    Bind {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's error at the last attempt.
+        source: io::Error,
+    },
+    /// The runtime, a signal handler or the listener can't be set up.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// A proxy that accepts clients.
+pub struct RunningProxy {
+    /// Set by SIGTERM.
+    pub terminate: SignalFlag,
+    /// Carries out the balancer's decisions.
+    pub driver: Rc<Driver>,
+    /// The phase that the clients' side follows.
+    pub phase: watch::Sender<LifecyclePhase>,
+    /// Ends once the proxy drains and the last client has gone.
+    pub accept_loop: JoinHandle<()>,
+}
+
+/// Starts a proxy. Returns once clients can connect; fails where the settings, the signals or the address do.
+pub async fn start(config: &Config) -> Result<RunningProxy, StartupError> {
+    let balancer = Balancer::new(config.site.settings.clone(), config.seed).map_err(InvalidSettings)?;
+    // Both handlers are set before anybody can know that this process is ready: unhandled, the signals would kill it.
+    let terminate = SignalFlag::terminate()?;
+    let hangup = SignalFlag::hangup()?;
+    let socket =
+        bind(config.listen).await.map_err(|source| StartupError::Bind { address: config.listen, source })?;
+    let metrics = Rc::new(Metrics::default());
+    let driver = start_driver(config, balancer, &metrics);
+    if !config.site.settings.poll_endpoints {
+        wait_for_first_list(&driver).await;
+    }
+    // Clients can't connect earlier than this.
+    let listener = socket.listen(LISTEN_BACKLOG)?;
+    tracing::info!(listen = %listener.local_addr()?, version = driver.list_version(), "serving");
+    Ok(accept_clients(config, listener, driver, metrics, terminate, hangup))
+}
+
+/// Starts the driver with the configured endpoint list.
+fn start_driver(config: &Config, balancer: Balancer, metrics: &Rc<Metrics>) -> Rc<Driver> {
+    let settings = &config.site.settings;
+    let upstreams = Upstreams::new(
+        settings,
+        config.max_upstream_connections(),
+        config.max_buffered_response_bytes(),
+        Rc::clone(metrics),
+    );
+    let discovery = Discovery::new(config.discovery, &config.site, Rc::clone(metrics));
+    let known = discovery.known(&config.known_endpoints);
+    tracing::info!(
+        upstreams = known.entries.len(),
+        version = discovery.version(),
+        limits = ?config.limits,
+        "starting"
+    );
+    Driver::start(balancer, upstreams, discovery, known, settings.poll_endpoints)
+}
+
+/// Spawns the accept loop and the tasks that last as long as the process.
+fn accept_clients(
+    config: &Config,
+    listener: TcpListener,
+    driver: Rc<Driver>,
+    metrics: Rc<Metrics>,
+    terminate: SignalFlag,
+    hangup: SignalFlag,
+) -> RunningProxy {
+    spawn_local(async move { metrics.log_changes().await });
+    let (phase, phase_receiver) = watch::channel(LifecyclePhase::Serving);
+    let server = Server::new(Rc::clone(&driver), &config.site, phase_receiver);
+    let accept_loop = spawn_local(server.run(listener, config.max_client_connections()));
+    spawn_local(reload_on_hangup(hangup, Rc::clone(&driver)));
+    RunningProxy { terminate, driver, phase, accept_loop }
+}
+
+/// Binds a socket that does not listen yet; retries while the address is occupied.
+async fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
+    for _ in 1..BIND_ATTEMPTS {
+        match try_bind(address) {
+            Ok(socket) => return Ok(socket),
+            Err(error) => tracing::warn!(%address, %error, "bind failed"),
+        }
+        sleep(BIND_RETRY_INTERVAL).await;
+    }
+    try_bind(address)
+}
+
+fn try_bind(address: SocketAddr) -> io::Result<TcpSocket> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    Ok(socket)
+}
+
+/// Waits for discovery's first complete message, as long as something arrives. Only used where discovery pushes its
+/// list: one that has to be polled may be overloaded by all processes that start at the same time.
+async fn wait_for_first_list(driver: &Driver) {
+    let mut progress = driver.discovery_progress();
+    let first_list = async {
+        loop {
+            match timeout(FIRST_LIST_SILENCE_TIMEOUT, progress.changed()).await {
+                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Told => return true,
+                Ok(Ok(())) => {}
+                Ok(Err(_)) | Err(_) => return false,
+            }
+        }
+    };
+    if timeout(FIRST_LIST_TIMEOUT, first_list).await != Ok(true) {
+        tracing::warn!("no endpoint list from discovery in time: serving the last known one");
+    }
+}
