--- /dev/null
+++ b/crates/proxy/src/downstream/correlation_ids/tests.rs
@@ -0,0 +1,14 @@
+use super::*;
+
+#[test]
+fn a_correlation_id_is_reserved_until_its_request_ends() {
+    let ids = CorrelationIds::default();
+    let id = HeaderValue::from_static("9b1f");
+
+    let reserved = ids.reserve(id.clone());
+
+    assert!(reserved.is_some());
+    assert!(ids.reserve(id.clone()).is_none());
+    drop(reserved);
+    assert!(ids.reserve(id).is_some());
+}
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,18 +1,17 @@
 //! The clients' side: accepts connections, reads requests, writes final answers.
 
 use crate::downstream::connection::{Client, ClientState, ClientStream, left};
-use crate::downstream::request::{OpenId, RequestError, Requests};
-use crate::driver::{Driver, FinalResponse, IncomingRequest};
+use crate::downstream::request::{RequestError, RequestValidator, ValidRequest};
+use crate::downstream::response::{ClientResponse, plain_text, render_error, render_response};
+use crate::driver::Driver;
 use crate::lifecycle::LifecyclePhase;
 use crate::rate_limited_log::RateLimitedLog;
 use balancer_settings::Site;
-use bytes::Bytes;
-use http_body_util::Full;
 use hyper::body::{Body, Incoming};
-use hyper::header::RETRY_AFTER;
+use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -40,7 +39,7 @@
 /// What clients reach.
 pub struct Server {
     driver: Rc<Driver>,
-    requests: Requests,
+    requests: RequestValidator,
     phase: watch::Receiver<LifecyclePhase>,
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
     count: Cell<u64>,
@@ -52,7 +51,7 @@
     pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<LifecyclePhase>) -> Rc<Self> {
         Rc::new(Self {
             driver,
-            requests: Requests::new(site),
+            requests: RequestValidator::new(site),
             phase,
             clients: RefCell::default(),
             count: Cell::new(0),
@@ -164,21 +163,23 @@
         self.clients.borrow_mut().remove(&number);
     }
 
-    async fn respond(&self, client: &Client, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn respond(&self, client: &Client, request: Request<Incoming>) -> ClientResponse {
         let whole_by = client.reads();
         let response = match request.uri().path() {
             "/health/ready" | "/health/live" if request.body().is_end_stream() => {
                 client.holds();
                 let leaving = *self.phase.borrow() != LifecyclePhase::Serving;
                 if leaving && request.uri().path() == "/health/ready" {
-                    plain(StatusCode::SERVICE_UNAVAILABLE, "leaving")
+                    plain_text(StatusCode::SERVICE_UNAVAILABLE, "leaving")
                 } else {
-                    plain(StatusCode::OK, "ok")
+                    plain_text(StatusCode::OK, "ok")
                 }
             }
             _ => match self.read(client, request, whole_by).await {
-                Ok((asked, _open)) => render_response(self.driver.submit(asked).answer().await),
-                Err(RequestError(status, why)) => plain(status, why),
+                Ok(ValidRequest { incoming, correlation_id: _reserved }) => {
+                    render_response(self.driver.submit(incoming).answer().await)
+                }
+                Err(error) => render_error(error),
             },
         };
         client.answered();
@@ -191,10 +192,14 @@
         client: &Client,
         request: Request<Incoming>,
         whole_by: Instant,
-    ) -> Result<(IncomingRequest, OpenId), RequestError> {
+    ) -> Result<ValidRequest, RequestError> {
         let (parts, body) = request.into_parts();
-        let head = self.requests.head(parts, |shown| client.has_conflicting_lengths(shown))?;
-        let read = self.requests.rest(head, body, whole_by).await?;
+        let visible = parts.headers.get_all(CONTENT_LENGTH).iter().count();
+        if client.has_conflicting_lengths(visible) && parts.headers.contains_key(TRANSFER_ENCODING) {
+            return Err(RequestError::ConflictingLengths);
+        }
+        let head = self.requests.validate_head(parts)?;
+        let read = self.requests.read_body(head, body, whole_by).await?;
         client.holds();
         Ok(read)
     }
@@ -234,32 +239,6 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
-    *response.status_mut() = status;
-    response
-}
-
-/// The words for a final answer.
-fn render_response(answer: FinalResponse) -> Response<Full<Bytes>> {
-    match answer {
-        FinalResponse::Served(served) => {
-            let mut response = Response::new(Full::new(served.body));
-            *response.headers_mut() = served.headers;
-            response
-        }
-        FinalResponse::Rejected { retry_after, .. } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-            let value = retry_after.and_then(|t| format!("{:.3}", t.as_secs_f64()).parse().ok());
-            if let Some(value) = value {
-                response.headers_mut().insert(RETRY_AFTER, value);
-            }
-            response
-        }
-        FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
-    }
-}
-
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,5 +1,7 @@
 //! Clients: accepts their connections, reads their requests and writes the final responses.
 
 pub mod connection;
+mod correlation_ids;
 pub mod listener;
-pub mod request;
+mod request;
+mod response;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -1,183 +1,295 @@
-//! What makes a client's message a request that may be handed to the module, and which requests are open.
+//! Validates clients' requests and turns them into requests for the driver.
 
+use crate::downstream::correlation_ids::{CorrelationIds, ReservedId};
 use crate::driver::IncomingRequest;
 use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
 use crate::upstream::attempt::OutgoingRequest;
 use balancer_core::{ClassId, RetrySafety, TenantId};
 use balancer_settings::Site;
+use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
+use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
 use rustc_hash::FxHashMap;
-use std::cell::RefCell;
-use std::collections::HashSet;
-use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-/// The longest body of a request.
+#[cfg(test)]
+mod tests;
+
+/// The longest request body.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// What is taken off a client's time: the way of the request here and of the answer back, and the timers.
-const ON_THE_WAY: Duration = Duration::from_millis(4);
+/// Subtracted from the time that a client still waits: the transfer of the request and of the response, and the
+/// resolution of the timers.
+const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
+const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
-/// Why a request is not handed to the module.
-#[derive(Debug)]
-pub struct RequestError(pub StatusCode, pub &'static str);
+/// Why a request is rejected before it reaches the balancer. The message is the body of the response.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum RequestError {
+    /// The head states the body's length in two ways. A second request could hide in the body of the first, if the
+    /// upstream trusts the other one.
+    #[error("Content-Length beside Transfer-Encoding")]
+    ConflictingLengths,
+    /// There is no `Host` header, or several.
+    #[error("not one Host")]
+    NotOneHost,
+    /// The path names no request class of the settings.
+    #[error("unknown class")]
+    UnknownClass,
+    /// The method is not that of the request class.
+    #[error("the class has another method")]
+    MethodNotAllowed,
+    /// A header occurs twice that may occur once: another reader might use the other value.
+    #[error("a header twice that may stand once")]
+    RepeatedHeader,
+    /// `X-Correlation-Id` is missing, empty or not ASCII text.
+    #[error("no readable X-Correlation-Id")]
+    InvalidCorrelationId,
+    /// The class deduplicates by a key that is missing.
+    #[error("no Idempotency-Key")]
+    MissingIdempotencyKey,
+    /// `X-Account` names no tenant of the settings.
+    #[error("unknown account")]
+    UnknownAccount,
+    /// `X-Time-Left-Ms` is missing or no whole number.
+    #[error("no readable X-Time-Left-Ms")]
+    InvalidTimeLeft,
+    /// `X-Weight-Hint` is no number, or negative.
+    #[error("unreadable X-Weight-Hint")]
+    InvalidWeightHint,
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// The connection failed within the body.
+    #[error("the body broke off")]
+    IncompleteBody,
+    /// The body was not complete by the read deadline.
+    #[error("the body did not come in time")]
+    BodyTimeout,
+    /// A GET request has a body.
+    #[error("a GET with a body")]
+    UnexpectedBody,
+    /// A request in flight has the same correlation id. An upstream would take one for a retry of the other.
+    #[error("a request with this id is open")]
+    DuplicateCorrelationId,
+}
+
+impl RequestError {
+    /// The status of the response.
+    pub fn status(self) -> StatusCode {
+        match self {
+            Self::UnknownClass => StatusCode::NOT_FOUND,
+            Self::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            Self::UnknownAccount => StatusCode::FORBIDDEN,
+            Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::DuplicateCorrelationId => StatusCode::CONFLICT,
+            Self::ConflictingLengths
+            | Self::NotOneHost
+            | Self::RepeatedHeader
+            | Self::InvalidCorrelationId
+            | Self::MissingIdempotencyKey
+            | Self::InvalidTimeLeft
+            | Self::InvalidWeightHint
+            | Self::IncompleteBody
+            | Self::UnexpectedBody => StatusCode::BAD_REQUEST,
+        }
+    }
+}
 
+/// What the validation needs to know of a request class.
 struct Class {
     id: ClassId,
     retry_safety: RetrySafety,
     deadline: Duration,
 }
 
-/// Ids of the requests that are owed their answers. Clients choose them: the hasher is no one's to guess.
-type OpenIds = Rc<RefCell<HashSet<HeaderValue>>>;
-
-/// The id of an open request; no other may bear it meanwhile.
-pub struct OpenId {
-    ids: OpenIds,
-    id: HeaderValue,
-}
+impl Class {
+    /// The only method of the class's requests.
+    fn method(&self) -> Method {
+        match self.retry_safety {
+            RetrySafety::Idempotent => Method::GET,
+            _ => Method::POST,
+        }
+    }
 
-impl Drop for OpenId {
-    fn drop(&mut self) {
-        self.ids.borrow_mut().remove(&self.id);
+    fn requires_idempotency_key(&self) -> bool {
+        matches!(self.retry_safety, RetrySafety::Deduplicated { .. })
     }
 }
 
-/// The head of a request, found fit.
-pub struct Head {
+/// A validated request head.
+#[derive(Debug)]
+pub struct RequestHead {
     class: ClassId,
     tenant: TenantId,
     method: Method,
-    left: Duration,
+    time_left: Duration,
     expected_work_ms: Option<f64>,
-    repeat: bool,
-    id: HeaderValue,
+    is_client_retry: bool,
+    correlation_id: HeaderValue,
     parts: Parts,
 }
 
-/// Reads requests.
-pub struct Requests {
+/// A valid request, complete with its body.
+pub struct ValidRequest {
+    /// The request for the driver.
+    pub incoming: IncomingRequest,
+    /// Has to be kept until the final response.
+    pub correlation_id: ReservedId,
+}
+
+/// Validates requests by the classes and tenants of the settings.
+pub struct RequestValidator {
     classes: FxHashMap<String, Class>,
     tenants: FxHashMap<String, TenantId>,
-    open: OpenIds,
+    correlation_ids: CorrelationIds,
 }
 
-impl Requests {
-    /// A reader of this site's requests.
+impl RequestValidator {
+    /// A validator for the classes and tenants of this site.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().cloned().zip(&site.settings.classes).enumerate();
-        let classes = classes.map(|(k, (name, class))| {
-            let id = ClassId(k as u16);
+        let classes = classes.map(|(index, (name, class))| {
+            let id = ClassId(index as u16);
             (name, Class { id, retry_safety: class.retry_safety, deadline: class.deadline })
         });
         let tenants = site.names.tenants.iter().cloned().enumerate();
-        let tenants = tenants.map(|(k, name)| (name, TenantId(k as u32)));
-        Self { classes: classes.collect(), tenants: tenants.collect(), open: OpenIds::default() }
+        let tenants = tenants.map(|(index, name)| (name, TenantId(index as u32)));
+        Self {
+            classes: classes.collect(),
+            tenants: tenants.collect(),
+            correlation_ids: CorrelationIds::default(),
+        }
     }
 
-    /// Reads a head. `hides_a_length`: whether its bytes name a length beyond so many that it shows.
-    pub fn head(
-        &self,
-        parts: Parts,
-        has_conflicting_lengths: impl FnOnce(usize) -> bool,
-    ) -> Result<Head, RequestError> {
-        const BAD: StatusCode = StatusCode::BAD_REQUEST;
+    /// Validates a request head. Conflicting lengths are not visible here; see `ClientSocket`.
+    pub fn validate_head(&self, parts: Parts) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
-        let shown = headers.get_all(CONTENT_LENGTH).iter().count();
-        // Two lengths hide a second request in the body of the first from one of the two that read it.
-        if has_conflicting_lengths(shown) && headers.contains_key(TRANSFER_ENCODING) {
-            return Err(RequestError(BAD, "Content-Length beside Transfer-Encoding"));
-        }
         if headers.get_all(HOST).iter().count() != 1 {
-            return Err(RequestError(BAD, "not one Host"));
+            return Err(RequestError::NotOneHost);
         }
-        let class = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let Some(class) = self.classes.get(class) else {
-            return Err(RequestError(StatusCode::NOT_FOUND, "unknown class"));
-        };
-        let method = if class.retry_safety == RetrySafety::Idempotent { Method::GET } else { Method::POST };
+        let class = self.class(parts.uri.path())?;
+        let method = class.method();
         if parts.method != method {
-            return Err(RequestError(StatusCode::METHOD_NOT_ALLOWED, "the class has another method"));
+            return Err(RequestError::MethodNotAllowed);
         }
-        let id = only(headers, &CORRELATION_ID)?.filter(|id| id.to_str().is_ok_and(|id| !id.is_empty()));
-        let Some(id) = id.cloned() else {
-            return Err(RequestError(BAD, "no readable X-Correlation-Id"));
-        };
-        let key = only(headers, &IDEMPOTENCY_KEY)?;
-        if matches!(class.retry_safety, RetrySafety::Deduplicated { .. }) && key.is_none() {
-            return Err(RequestError(BAD, "no Idempotency-Key"));
+        let correlation_id = correlation_id(headers)?;
+        let idempotency_key = single_value(headers, &IDEMPOTENCY_KEY)?;
+        if class.requires_idempotency_key() && idempotency_key.is_none() {
+            return Err(RequestError::MissingIdempotencyKey);
         }
-        let account = only(headers, &ACCOUNT)?.and_then(|name| name.to_str().ok());
-        let tenant = match account.map(|name| self.tenants.get(name)) {
-            Some(Some(tenant)) => *tenant,
-            _ if self.tenants.is_empty() => TenantId(0),
-            _ => return Err(RequestError(StatusCode::FORBIDDEN, "unknown account")),
-        };
-        // Digits alone: `parse` would take a sign too.
-        let left = only(headers, &TIME_LEFT)?.and_then(|left| left.to_str().ok());
-        let left = left.filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
-        let Some(left) = left.and_then(|left| left.parse().ok()).map(Duration::from_millis) else {
-            return Err(RequestError(BAD, "no readable X-Time-Left-Ms"));
-        };
-        let expected_work_ms = match only(headers, &WEIGHT_HINT)? {
-            None => None,
-            Some(hint) => match hint.to_str().ok().and_then(|h| h.trim().parse::<f64>().ok()) {
-                Some(us) if us.is_finite() && us >= 0.0 => Some(us / 1e3),
-                _ => return Err(RequestError(BAD, "unreadable X-Weight-Hint")),
-            },
-        };
-        let repeat = headers.get(REPEAT).is_some_and(|v| v.as_bytes() == b"1");
-        // No client waits longer than its class lets it, all tries together.
-        let left = left.min(class.deadline);
-        Ok(Head { class: class.id, tenant, method, left, expected_work_ms, repeat, id, parts })
+        Ok(RequestHead {
+            class: class.id,
+            tenant: self.tenant(headers)?,
+            method,
+            // No client waits longer than its class permits, all of its retries included.
+            time_left: time_left(headers)?.min(class.deadline),
+            expected_work_ms: expected_work_ms(headers)?,
+            is_client_retry: headers.get(REPEAT).is_some_and(|value| value.as_bytes() == b"1"),
+            correlation_id,
+            parts,
+        })
     }
 
-    /// Reads the rest of a request, which has to be whole by `whole_by`; from then on it is open.
-    pub async fn rest(
+    /// Reads the body, which has to be complete by `read_deadline`, and reserves the request's correlation id.
+    pub async fn read_body(
         &self,
-        head: Head,
+        head: RequestHead,
         body: Incoming,
-        whole_by: Instant,
-    ) -> Result<(IncomingRequest, OpenId), RequestError> {
-        const TOO_LONG: RequestError = RequestError(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
-        // What is said to be too long is not read.
-        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-            return Err(TOO_LONG);
+        read_deadline: Instant,
+    ) -> Result<ValidRequest, RequestError> {
+        let body = read_limited(body, read_deadline).await?;
+        if head.method == Method::GET && !body.is_empty() {
+            return Err(RequestError::UnexpectedBody);
         }
-        let body = match timeout_at(whole_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-            Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) if e.is::<LengthLimitError>() => return Err(TOO_LONG),
-            Ok(Err(_)) => return Err(RequestError(StatusCode::BAD_REQUEST, "the body broke off")),
-            Err(_) => return Err(RequestError(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
+        let correlation_id =
+            self.correlation_ids.reserve(head.correlation_id).ok_or(RequestError::DuplicateCorrelationId)?;
+        let mut headers = head.parts.headers;
+        headers::strip_hop_by_hop(&mut headers);
+        let target = head.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
+        // The client's time counts from its last byte, so a slow upload does not shorten it.
+        let deadline = Instant::now() + head.time_left.saturating_sub(TRANSFER_ALLOWANCE);
+        let incoming = IncomingRequest {
+            class: head.class,
+            tenant: head.tenant,
+            deadline,
+            expected_work_ms: head.expected_work_ms,
+            repeat: head.is_client_retry,
+            outgoing: OutgoingRequest { method: head.method, target, headers, body },
         };
-        let Head { class, tenant, method, left, expected_work_ms, repeat, id, parts } = head;
-        if method == Method::GET && !body.is_empty() {
-            return Err(RequestError(StatusCode::BAD_REQUEST, "a GET with a body"));
+        Ok(ValidRequest { incoming, correlation_id })
+    }
+
+    /// The class that the first segment of a path names.
+    fn class(&self, path: &str) -> Result<&Class, RequestError> {
+        let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
+        self.classes.get(name).ok_or(RequestError::UnknownClass)
+    }
+
+    /// The tenant. Where the settings list none, all requests belong to the first.
+    fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, RequestError> {
+        let name = single_value(headers, &ACCOUNT)?.and_then(|name| name.to_str().ok());
+        match name.and_then(|name| self.tenants.get(name)) {
+            Some(tenant) => Ok(*tenant),
+            None if self.tenants.is_empty() => Ok(TenantId(0)),
+            None => Err(RequestError::UnknownAccount),
         }
-        // An upstream would take the second one for a repeat of the first, or the other way round.
-        if !self.open.borrow_mut().insert(id.clone()) {
-            return Err(RequestError(StatusCode::CONFLICT, "a request with this id is open"));
+    }
+}
+
+fn correlation_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
+    let id = single_value(headers, &CORRELATION_ID)?;
+    let id = id.filter(|id| id.to_str().is_ok_and(|text| !text.is_empty()));
+    id.cloned().ok_or(RequestError::InvalidCorrelationId)
+}
+
+/// How long the client still waits.
+fn time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let text = single_value(headers, &TIME_LEFT)?.and_then(|value| value.to_str().ok());
+    // Digits only: `parse` would accept a sign, too.
+    let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+    let milliseconds = digits.and_then(|digits| digits.parse().ok());
+    milliseconds.map(Duration::from_millis).ok_or(RequestError::InvalidTimeLeft)
+}
+
+/// The client's estimate of the request's work, if it states one.
+fn expected_work_ms(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
+    let Some(hint) = single_value(headers, &WEIGHT_HINT)? else { return Ok(None) };
+    match hint.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok()) {
+        Some(microseconds) if microseconds.is_finite() && microseconds >= 0.0 => {
+            Ok(Some(microseconds / MICROSECONDS_PER_MILLISECOND))
         }
-        let open = OpenId { ids: Rc::clone(&self.open), id };
-        let mut headers = parts.headers;
-        headers::strip_hop_by_hop(&mut headers);
-        let target = parts.uri.path_and_query().map(|p| hyper::Uri::from(p.clone())).unwrap_or_default();
-        let outgoing = OutgoingRequest { method, target, headers, body };
-        // A request's time counts from its last byte: a client that writes slowly waits no less.
-        let deadline = Instant::now() + left.saturating_sub(ON_THE_WAY);
-        Ok((IncomingRequest { class, tenant, deadline, expected_work_ms, repeat, outgoing }, open))
+        _ => Err(RequestError::InvalidWeightHint),
     }
 }
 
-/// The value of a header that may stand once: of several, another reader might choose another.
-fn only<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, RequestError> {
+/// The value of a header that may occur once.
+fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a HeaderValue>, RequestError> {
     let mut values = headers.get_all(name).iter();
-    match (values.next(), values.next()) {
-        (_, Some(_)) => Err(RequestError(StatusCode::BAD_REQUEST, "a header twice that may stand once")),
-        (value, None) => Ok(value),
+    let first = values.next();
+    if values.next().is_some() {
+        return Err(RequestError::RepeatedHeader);
+    }
+    Ok(first)
+}
+
+/// Reads a body of at most [`MAX_BODY_BYTES`]. One that is announced as longer is not read.
+async fn read_limited(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::BodyTooLong);
+    }
+    match timeout_at(read_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
+        Ok(Err(_)) => Err(RequestError::IncompleteBody),
+        Err(_) => Err(RequestError::BodyTimeout),
     }
 }
