--- /dev/null
+++ b/crates/proxy/src/downstream/handler.rs
@@ -0,0 +1,106 @@
+//! Handles one request: a health check of this balancer, or a request for the driver.
+
+use crate::downstream::client::Client;
+use crate::downstream::client_stream::ClientSocket;
+use crate::downstream::request::{RequestError, RequestValidator, ValidRequest};
+use crate::downstream::response::{ClientResponse, plain_text, render_error, render_response};
+use crate::driver::Driver;
+use crate::lifecycle::LifecyclePhase;
+use balancer_settings::Site;
+use hyper::body::{Body, Incoming};
+use hyper::{Request, StatusCode};
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// A health check of this balancer by its platform.
+enum HealthCheck {
+    /// Whether new connections may be assigned to it.
+    Ready,
+    /// Whether the process works.
+    Live,
+}
+
+impl HealthCheck {
+    /// The health check that a request is, if any.
+    fn from_request(request: &Request<Incoming>) -> Option<Self> {
+        if !request.body().is_end_stream() {
+            return None;
+        }
+        match request.uri().path() {
+            "/health/ready" => Some(Self::Ready),
+            "/health/live" => Some(Self::Live),
+            _ => None,
+        }
+    }
+}
+
+/// Handles the requests of all clients.
+pub struct RequestHandler {
+    driver: Rc<Driver>,
+    validator: RequestValidator,
+    phase: watch::Receiver<LifecyclePhase>,
+}
+
+impl RequestHandler {
+    /// A handler that submits the requests of this site's classes to `driver`.
+    pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<LifecyclePhase>) -> Self {
+        Self { driver, validator: RequestValidator::new(site), phase }
+    }
+
+    /// Handles a request whose head has just arrived, and returns its response.
+    pub async fn handle(
+        &self,
+        client: &Client,
+        socket: &ClientSocket,
+        request: Request<Incoming>,
+    ) -> ClientResponse {
+        let read_deadline = client.head_received();
+        let response = match HealthCheck::from_request(&request) {
+            Some(health_check) => {
+                client.request_received();
+                self.answer_health_check(&health_check)
+            }
+            None => self.forward(client, socket, request, read_deadline).await.unwrap_or_else(render_error),
+        };
+        client.response_ready();
+        response
+    }
+
+    fn answer_health_check(&self, health_check: &HealthCheck) -> ClientResponse {
+        let is_serving = *self.phase.borrow() == LifecyclePhase::Serving;
+        match health_check {
+            HealthCheck::Ready if !is_serving => plain_text(StatusCode::SERVICE_UNAVAILABLE, "leaving"),
+            HealthCheck::Ready | HealthCheck::Live => plain_text(StatusCode::OK, "ok"),
+        }
+    }
+
+    /// Submits a request to the driver and waits for the final response.
+    async fn forward(
+        &self,
+        client: &Client,
+        socket: &ClientSocket,
+        request: Request<Incoming>,
+        read_deadline: Instant,
+    ) -> Result<ClientResponse, RequestError> {
+        let request = self.read(socket, request, read_deadline).await?;
+        client.request_received();
+        let ValidRequest { incoming, correlation_id: _reserved } = request;
+        Ok(render_response(self.driver.submit(incoming).answer().await))
+    }
+
+    /// Reads and validates a request, its body included.
+    async fn read(
+        &self,
+        socket: &ClientSocket,
+        request: Request<Incoming>,
+        read_deadline: Instant,
+    ) -> Result<ValidRequest, RequestError> {
+        let (parts, body) = request.into_parts();
+        if socket.has_conflicting_lengths(&parts.headers) {
+            return Err(RequestError::ConflictingLengths);
+        }
+        let head = self.validator.validate_head(parts)?;
+        self.validator.read_body(head, body, read_deadline).await
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -0,0 +1,221 @@
+use super::*;
+use crate::discovery::client::Discovery;
+use crate::discovery::endpoint_list::WatchEvent;
+use crate::upstream::attempt::Upstreams;
+use balancer_core::Balancer;
+use std::io::Write;
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::task::JoinHandle;
+
+const LIVE_REQUEST: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n";
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+/// The upstream has not executed the request, so that it may be sent to another one.
+const UNPROCESSED_RESPONSE: &[u8] = b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+const BALANCER_SEED: u64 = 7;
+const MAX_UPSTREAM_CONNECTIONS: usize = 8;
+
+/// A proxy in this process; to be changed before the start.
+struct TestProxy<'a> {
+    settings: String,
+    upstreams: &'a [TcpListener],
+    phase: LifecyclePhase,
+    max_connections: usize,
+}
+
+impl TestProxy<'static> {
+    /// One in its lame duck phase, without upstreams.
+    fn lame_duck() -> Self {
+        let settings = r#"{"classes":[{"name":"look"}]}"#.to_owned();
+        Self { settings, upstreams: &[], phase: LifecyclePhase::LameDuck, max_connections: 8 }
+    }
+}
+
+impl<'a> TestProxy<'a> {
+    /// One that forwards requests of one class to these upstreams and never cancels an attempt.
+    fn serving(class: &str, retry_safety: &str, upstreams: &'a [TcpListener]) -> Self {
+        let settings = format!(
+            r#"{{"classes":[{{"name":"{class}","aim_ms":60000,"hard_limit_ms":60000,"effect":"{retry_safety}"}}],
+            "limits":{{"cancelling":false}},"parties":[{{"name":"acme","allowance_per_s":1000.0}}]}}"#
+        );
+        Self { settings, upstreams, phase: LifecyclePhase::Serving, max_connections: 8 }
+    }
+
+    async fn start(self) -> RunningTestProxy {
+        let site = balancer_settings::parse(&self.settings).unwrap();
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
+        let discovery = Discovery::new(address, &site, Rc::default());
+        let known = match self.upstreams {
+            [] => WatchEvent::failed(),
+            upstreams => discovery.known(&endpoint_list(upstreams)),
+        };
+        let balancer = Balancer::new(site.settings.clone(), BALANCER_SEED).unwrap();
+        let upstreams = Upstreams::new(&site.settings, MAX_UPSTREAM_CONNECTIONS, 0, Rc::default());
+        let driver = Driver::start(balancer, upstreams, discovery, known, true);
+        let (phase, phase_receiver) = watch::channel(self.phase);
+        let clients = Listener::new(driver, &site, phase_receiver);
+        let accept_loop = spawn_local(clients.run(listener, self.max_connections));
+        RunningTestProxy { address, phase, accept_loop }
+    }
+}
+
+/// A list with an endpoint for each of these upstreams, in discovery's form.
+fn endpoint_list(upstreams: &[TcpListener]) -> String {
+    let entries = upstreams.iter().enumerate().map(|(index, upstream)| {
+        let endpoint = upstream.local_addr().unwrap();
+        format!(r#"{{"uid":"s-{index}","endpoint":"{endpoint}","state":"Ready"}}"#)
+    });
+    format!(r#"{{"rev":1,"all":true,"targets":[{}]}}"#, entries.collect::<Vec<_>>().join(","))
+}
+
+struct RunningTestProxy {
+    address: SocketAddr,
+    phase: watch::Sender<LifecyclePhase>,
+    accept_loop: JoinHandle<()>,
+}
+
+impl RunningTestProxy {
+    async fn connect(&self) -> TcpStream {
+        TcpStream::connect(self.address).await.unwrap()
+    }
+
+    fn drain(&self) {
+        self.phase.send_replace(LifecyclePhase::Draining);
+    }
+
+    /// Connects and sends a request with these headers, and these bytes behind it.
+    async fn send(&self, request_line: &str, correlation_id: &str, rest: &str) -> TcpStream {
+        let mut client = self.connect().await;
+        let request = format!(
+            "{request_line} HTTP/1.1\r\nHost: app.svc\r\nX-Account: acme\r\nX-Time-Left-Ms: 60000\r\n\
+             X-Correlation-Id: {correlation_id}\r\n{rest}"
+        );
+        client.write_all(request.as_bytes()).await.unwrap();
+        client
+    }
+}
+
+async fn bind_upstream() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.unwrap()
+}
+
+/// Reads what arrives next, as text.
+async fn read_text(stream: &mut TcpStream) -> String {
+    let mut bytes = [0; 1024];
+    let length = stream.read(&mut bytes).await.unwrap();
+    String::from_utf8_lossy(&bytes[..length]).into_owned()
+}
+
+/// The balancer that takes over may not be ready yet, so a connection in use stays usable in the lame duck phase.
+#[tokio::test(flavor = "local")]
+async fn connections_outlast_the_lame_duck_phase_and_end_with_the_drain() {
+    let proxy = TestProxy::lame_duck().start().await;
+    let mut client = proxy.connect().await;
+    for (path, status) in [("ready", "503"), ("live", "200"), ("ready", "503")] {
+        let request = format!("GET /health/{path} HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        client.write_all(request.as_bytes()).await.unwrap();
+        let response = read_text(&mut client).await.to_lowercase();
+        assert!(response.starts_with(&format!("http/1.1 {status}")), "{response:?}");
+        assert!(!response.contains("connection: close"), "{response:?}");
+    }
+
+    proxy.drain();
+
+    assert_eq!(client.read(&mut [0; 1]).await.unwrap(), 0, "it ends between requests");
+    proxy.accept_loop.await.unwrap();
+}
+
+#[tokio::test(flavor = "local")]
+async fn the_request_of_a_client_that_left_before_it_had_a_slot_is_not_forwarded() {
+    let upstreams = [bind_upstream().await];
+    let mut proxy = TestProxy::serving("book", "at_most_once", &upstreams);
+    proxy.max_connections = 1;
+    let proxy = proxy.start().await;
+    let send =
+        async |correlation_id| proxy.send("POST /book", correlation_id, "Content-Length: 0\r\n\r\n").await;
+    let first = send("first").await;
+    let (mut attempt, _) = upstreams[0].accept().await.unwrap();
+    assert!(attempt.read(&mut [0; 1024]).await.unwrap() > 0);
+    drop(send("leaves").await);
+    let _stays = send("stays").await;
+
+    // The first client is evicted between two requests, and the upstream connection is reused.
+    attempt.write_all(OK_RESPONSE).await.unwrap();
+    let next = read_text(&mut attempt).await;
+
+    drop(first);
+    assert!(next.contains("stays"), "{next:?}");
+}
+
+/// No attempt begins, neither a first one nor a retry, for a client that has left, even if bytes follow its request or
+/// the process drains.
+#[tokio::test(flavor = "local")]
+async fn the_request_of_a_client_that_left_is_not_forwarded_though_bytes_follow_it() {
+    for (is_draining, trailing_bytes) in
+        [(false, 1), (true, 0), (true, 1), (false, 60 * 1024), (true, 60 * 1024)]
+    {
+        let upstreams = [bind_upstream().await, bind_upstream().await];
+        let proxy = TestProxy::serving("look", "idempotent", &upstreams).start().await;
+        let rest = format!("\r\n{}", "x".repeat(trailing_bytes));
+        let send = async |correlation_id| proxy.send("GET /look", correlation_id, &rest).await;
+        let accept_attempt = async || {
+            tokio::select! {
+                stream = upstreams[0].accept() => stream.unwrap().0,
+                stream = upstreams[1].accept() => stream.unwrap().0,
+            }
+        };
+        // One client leaves once its first attempt was sent, another one together with its request.
+        let first_client = send("first").await;
+        let mut first_attempt = accept_attempt().await;
+        let mut received = [0; 1024];
+        assert!(first_attempt.read(&mut received).await.unwrap() > 0);
+        if is_draining {
+            proxy.drain();
+            yield_now().await;
+        } else {
+            drop(send("second").await);
+        }
+        drop(first_client);
+        sleep(Duration::from_millis(100)).await;
+
+        // The first attempt ends in a way that permits a retry.
+        first_attempt.write_all(UNPROCESSED_RESPONSE).await.unwrap();
+
+        let retry = timeout(Duration::from_millis(200), accept_attempt()).await;
+        let reused = timeout(Duration::from_millis(10), first_attempt.read(&mut received)).await;
+        assert!(
+            retry.is_err() && !matches!(reused, Ok(Ok(1..))),
+            "draining: {is_draining}, {trailing_bytes} bytes follow"
+        );
+    }
+}
+
+/// Requests that the kernel has received when the process begins to drain get their responses, on a connection in use
+/// and on connections that are not accepted yet.
+#[tokio::test(flavor = "local")]
+async fn requests_that_arrive_with_the_drain_are_answered() {
+    let proxy = TestProxy::lame_duck().start().await;
+    let mut used = proxy.connect().await;
+    used.write_all(LIVE_REQUEST).await.unwrap();
+    assert!(used.read(&mut [0; 1024]).await.unwrap() > 0);
+
+    // No other task runs between these.
+    assert_eq!(used.try_write(LIVE_REQUEST).unwrap(), LIVE_REQUEST.len());
+    let new: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(proxy.address).unwrap()).collect();
+    new.iter().for_each(|mut stream| stream.write_all(LIVE_REQUEST).unwrap());
+    proxy.drain();
+
+    let mut streams = vec![used];
+    for stream in new {
+        stream.set_nonblocking(true).unwrap();
+        streams.push(TcpStream::from_std(stream).unwrap());
+    }
+    for (index, stream) in streams.iter_mut().enumerate() {
+        let mut response = Vec::new();
+        let ended = stream.read_to_end(&mut response).await;
+        assert!(ended.is_ok(), "{index}: {ended:?}");
+        assert!(response.starts_with(b"HTTP/1.1 200"), "{index}: {:?}", String::from_utf8_lossy(&response));
+    }
+    proxy.accept_loop.await.unwrap();
+}
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,7 +1,11 @@
 //! Clients: accepts their connections, reads their requests and writes the final responses.
 
-pub mod connection;
+mod client;
+mod client_stream;
+mod connection;
+mod content_length;
 mod correlation_ids;
+mod handler;
 pub mod listener;
 mod request;
 mod response;
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::client::{Discovery, Progress};
-use crate::downstream::listener::Server;
+use crate::downstream::listener::Listener;
 use crate::driver::Driver;
 use crate::lifecycle::LifecyclePhase;
 use crate::metrics::Metrics;
@@ -116,8 +116,8 @@
 ) -> RunningProxy {
     spawn_local(async move { metrics.log_changes().await });
     let (phase, phase_receiver) = watch::channel(LifecyclePhase::Serving);
-    let server = Server::new(Rc::clone(&driver), &config.site, phase_receiver);
-    let accept_loop = spawn_local(server.run(listener, config.max_client_connections()));
+    let clients = Listener::new(Rc::clone(&driver), &config.site, phase_receiver);
+    let accept_loop = spawn_local(clients.run(listener, config.max_client_connections()));
     spawn_local(reload_on_hangup(hangup, Rc::clone(&driver)));
     RunningProxy { terminate, driver, phase, accept_loop }
 }
