--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -5,6 +5,9 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
+#[cfg(test)]
+mod tests;
+
 /// Time for a complete request, from the accepted connection or from a later request's first byte.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// Added to [`READ_TIMEOUT`] once a head has arrived, so that the client gets the 408 before the connection ends.
@@ -39,12 +42,16 @@
     since: Instant,
 }
 
-/// Silent connections and incomplete requests go before regular clients between two requests.
+/// What a connection is doing, in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
+    /// No complete request in [`STALL_THRESHOLD`].
     Stalled,
+    /// Nothing received in [`LONG_IDLE_THRESHOLD`] since the last response.
     LongIdle,
+    /// Accepted, or began a request, within [`STALL_THRESHOLD`].
     Reading,
+    /// Between two requests for at most [`LONG_IDLE_THRESHOLD`].
     RecentlyIdle,
 }
 
@@ -53,7 +60,7 @@
     state: Cell<ClientState>,
     /// Whether a valid request has ever arrived.
     has_sent_valid_request: Cell<bool>,
-    /// When the connection was accepted, or the last response to a connection with a valid request was ready.
+    /// When the connection was accepted; from the first valid request on, when the last response was ready.
     last_active_at: Cell<Instant>,
     /// When the request that is being read began.
     request_started_at: Cell<Option<Instant>>,
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::TcpSocket;
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
@@ -28,6 +28,7 @@
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often the address is tried: what occupies it may go away in a moment.
 const BIND_ATTEMPTS: usize = 20;
+/// Pause between two attempts to bind the address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
@@ -82,7 +83,12 @@
     // Clients can't connect earlier than this.
     let listener = socket.listen(LISTEN_BACKLOG)?;
     tracing::info!(listen = %listener.local_addr()?, version = driver.list_version(), "serving");
-    Ok(accept_clients(config, listener, driver, metrics, terminate, hangup))
+    spawn_local(async move { metrics.log_changes().await });
+    let (phase, phase_receiver) = watch::channel(LifecyclePhase::Serving);
+    let clients = Listener::new(Rc::clone(&driver), &config.site, phase_receiver);
+    let accept_loop = spawn_local(clients.run(listener, config.max_client_connections()));
+    spawn_local(reload_on_hangup(hangup, Rc::clone(&driver)));
+    Ok(RunningProxy { terminate, driver, phase, accept_loop })
 }
 
 /// Starts the driver with the configured endpoint list.
@@ -105,23 +111,6 @@
     Driver::start(balancer, upstreams, discovery, known, settings.poll_endpoints)
 }
 
-/// Spawns the accept loop and the tasks that last as long as the process.
-fn accept_clients(
-    config: &Config,
-    listener: TcpListener,
-    driver: Rc<Driver>,
-    metrics: Rc<Metrics>,
-    terminate: SignalFlag,
-    hangup: SignalFlag,
-) -> RunningProxy {
-    spawn_local(async move { metrics.log_changes().await });
-    let (phase, phase_receiver) = watch::channel(LifecyclePhase::Serving);
-    let clients = Listener::new(Rc::clone(&driver), &config.site, phase_receiver);
-    let accept_loop = spawn_local(clients.run(listener, config.max_client_connections()));
-    spawn_local(reload_on_hangup(hangup, Rc::clone(&driver)));
-    RunningProxy { terminate, driver, phase, accept_loop }
-}
-
 /// Binds a socket that does not listen yet; retries while the address is occupied.
 async fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     for _ in 1..BIND_ATTEMPTS {
