--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -184,9 +184,9 @@
             bytes,
             "list read"
         );
-        self.metrics.lists.inc();
-        self.metrics.list_bytes.inc_by(bytes as u64);
-        self.metrics.list_version.set(self.rev.get() as i64);
+        self.metrics.endpoint_lists.inc();
+        self.metrics.endpoint_list_bytes.inc_by(bytes as u64);
+        self.metrics.endpoint_list_version.set(self.rev.get() as i64);
     }
 
     /// Asks for the whole list.
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -254,7 +254,7 @@
                 attempt.out = false;
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
                 tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, ?latency, outcome = ?ended.outcome);
-                self.metrics.attempt_ended(ended.outcome.into());
+                self.metrics.record_attempt(ended.outcome.into());
                 // A second copy's answer comes to a request that is over: it is dropped.
                 if let Some(served) = ended.served
                     && let Some(reply) = held.reply.take()
@@ -287,7 +287,7 @@
                 let Some(held) = core.requests.get_mut(&id) else { return };
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "the client has left");
-                    self.metrics.answered(ResponseKind::ClientLeft);
+                    self.metrics.record_response(ResponseKind::ClientDisconnected);
                     core.balancer.handle(now, Event::ClientDisconnected { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
@@ -431,7 +431,7 @@
             driver.happened(DriverEvent::AttemptEnded(id, no, ended));
         });
         tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, "attempt");
-        self.metrics.further_attempts.inc_by(u64::from(no.0 > 0));
+        self.metrics.retries_and_hedges.inc_by(u64::from(no.0 > 0));
         held.attempts.push(Attempt { upstream, sent, task: task.abort_handle(), out: true });
     }
 
@@ -445,7 +445,7 @@
     fn reply(&self, id: RequestId, reply: Reply, answer: FinalResponse) {
         let kind = answer.kind();
         tracing::debug!(id = id.0, ?kind, "final answer");
-        self.metrics.answered(kind);
+        self.metrics.record_response(kind);
         // Where the client has just gone, nobody waits for it.
         let _ = reply.answer.send(answer);
     }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters of what this balancer does, registered in Prometheus' terms and logged while they change.
+//! Counters and gauges of one balancer, kept in a Prometheus registry. They are not exported; those that change are
+//! logged at intervals.
 
 use balancer_core::{Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, text::encode};
@@ -10,13 +11,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often counters that have changed are logged.
-const LOG_EVERY: Duration = Duration::from_secs(10);
+/// Time between two log lines about changed metrics.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The final answer that a client got.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum ResponseKind {
-    /// An upstream's.
+    /// With the response of an upstream.
     Served,
     /// Rejected: the token bucket of the tenant was empty.
     RejectedOverQuota,
@@ -24,10 +25,10 @@
     RejectedNoUpstream,
     /// Rejected: no attempt was executed, and no retry was possible.
     RejectedNoRetry,
-    /// Failed.
+    /// Failed: it may have been executed.
     Failed,
-    /// None: the client left before.
-    ClientLeft,
+    /// Without a response: the client disconnected first.
+    ClientDisconnected,
 }
 
 impl From<RejectionReason> for ResponseKind {
@@ -40,28 +41,28 @@
     }
 }
 
-/// How an attempt ended.
+/// How an attempt ended, as the label of a metric; see [`Outcome`].
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
-pub enum AttemptEnd {
-    /// Answered with 200.
+pub enum AttemptOutcome {
+    /// Served.
     Ok,
-    /// Answered with an error.
+    /// The upstream responded with an error.
     Error,
-    /// Turned away unprocessed.
+    /// The upstream rejected the request without executing it.
     Rejected,
-    /// Not answered in time.
+    /// No response in time.
     TimedOut,
-    /// No connection came up.
+    /// No connection was established.
     ConnectFailed,
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     Reset,
-    /// Cancelled by the decisions.
+    /// Cancelled by the balancer.
     Cancelled,
-    /// Never written.
+    /// Not sent.
     NotSent,
 }
 
-impl From<Outcome> for AttemptEnd {
+impl From<Outcome> for AttemptOutcome {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Ok => Self::Ok,
@@ -77,52 +78,52 @@
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct AnswerLabels {
+struct ResponseLabels {
     kind: ResponseKind,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct AttemptLabels {
-    end: AttemptEnd,
+    outcome: AttemptOutcome,
 }
 
 /// All metrics of one balancer.
 pub struct Metrics {
     registry: Registry,
-    answers: Family<AnswerLabels, Counter>,
+    responses: Family<ResponseLabels, Counter>,
     attempts: Family<AttemptLabels, Counter>,
-    /// Requests handed to the decisions.
+    /// Requests played into the balancer.
     pub requests: Counter,
-    /// Attempts after the first of their request.
-    pub further_attempts: Counter,
-    /// Attempts not written as their upstream had begun to drain or was gone by then.
+    /// Attempts after the first one of their request.
+    pub retries_and_hedges: Counter,
+    /// Attempts not sent because their upstream had begun to drain or was removed meanwhile.
     pub withheld_attempts: Counter,
-    /// Calls to discovery that have begun.
+    /// Calls to discovery that were begun.
     pub discovery_calls: Counter,
-    /// Calls to discovery and watches that have failed or ended.
+    /// Watches that ended, whether discovery ended them or they failed.
     pub discovery_failures: Counter,
-    /// Lists and changes of lists applied.
-    pub lists: Counter,
-    /// Their bytes.
-    pub list_bytes: Counter,
-    /// The version of the list in hand.
-    pub list_version: Gauge,
+    /// Endpoint lists and changes of them that were read.
+    pub endpoint_lists: Counter,
+    /// Their size.
+    pub endpoint_list_bytes: Counter,
+    /// The version of the endpoint list in use.
+    pub endpoint_list_version: Gauge,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("balancer"),
-            answers: Family::default(),
+            responses: Family::default(),
             attempts: Family::default(),
             requests: Counter::default(),
-            further_attempts: Counter::default(),
+            retries_and_hedges: Counter::default(),
             withheld_attempts: Counter::default(),
             discovery_calls: Counter::default(),
             discovery_failures: Counter::default(),
-            lists: Counter::default(),
-            list_bytes: Counter::default(),
-            list_version: Gauge::default(),
+            endpoint_lists: Counter::default(),
+            endpoint_list_bytes: Counter::default(),
+            endpoint_list_version: Gauge::default(),
         };
         metrics.register();
         metrics
@@ -132,34 +133,35 @@
 impl Metrics {
     fn register(&mut self) {
         let registry = &mut self.registry;
-        registry.register("answers", "Final answers", self.answers.clone());
-        registry.register("attempts", "Attempts that ended", self.attempts.clone());
+        registry.register("responses", "Requests that ended, by kind of response", self.responses.clone());
+        registry.register("attempts", "Attempts that ended, by outcome", self.attempts.clone());
         let counters = [
-            ("requests", "Requests handed to the decisions", &self.requests),
-            ("further_attempts", "Attempts after the first", &self.further_attempts),
-            ("withheld_attempts", "Attempts withheld from upstreams not ready", &self.withheld_attempts),
+            ("requests", "Requests played into the balancer", &self.requests),
+            ("retries_and_hedges", "Attempts after the first of their request", &self.retries_and_hedges),
+            ("withheld_attempts", "Attempts not sent to a draining upstream", &self.withheld_attempts),
             ("discovery_calls", "Calls to discovery", &self.discovery_calls),
-            ("discovery_failures", "Calls and watches that failed", &self.discovery_failures),
-            ("lists", "Lists and changes applied", &self.lists),
-            ("list_bytes", "Bytes of lists and changes applied", &self.list_bytes),
+            ("discovery_failures", "Watches that ended or failed", &self.discovery_failures),
+            ("endpoint_lists", "Endpoint lists and changes read", &self.endpoint_lists),
+            ("endpoint_list_bytes", "Bytes of endpoint lists and changes", &self.endpoint_list_bytes),
         ];
         for (name, help, counter) in counters {
             registry.register(name, help, counter.clone());
         }
-        registry.register("list_version", "Version of the list in hand", self.list_version.clone());
+        let version = self.endpoint_list_version.clone();
+        registry.register("endpoint_list_version", "Version of the endpoint list in use", version);
     }
 
-    /// A request got its final answer, or lost its client.
-    pub fn answered(&self, kind: ResponseKind) {
-        self.answers.get_or_create(&AnswerLabels { kind }).inc();
+    /// Counts a request that has ended.
+    pub fn record_response(&self, kind: ResponseKind) {
+        self.responses.get_or_create(&ResponseLabels { kind }).inc();
     }
 
-    /// An attempt ended.
-    pub fn attempt_ended(&self, end: AttemptEnd) {
-        self.attempts.get_or_create(&AttemptLabels { end }).inc();
+    /// Counts an attempt that has ended.
+    pub fn record_attempt(&self, outcome: AttemptOutcome) {
+        self.attempts.get_or_create(&AttemptLabels { outcome }).inc();
     }
 
-    /// All metrics in Prometheus' text form.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -167,28 +169,33 @@
         text
     }
 
-    /// Logs what has changed, again and again.
+    /// Logs, at each [`LOG_INTERVAL`], the metrics that have changed since the one before. Does not return.
     pub async fn log_changes(&self) {
-        let mut before: BTreeMap<String, String> = BTreeMap::new();
+        let mut previous = BTreeMap::new();
         loop {
-            sleep(LOG_EVERY).await;
-            let now = samples(&self.render());
-            let changed: Vec<String> = now
-                .iter()
-                .filter(|(name, value)| before.get(*name) != Some(*value))
-                .map(|(name, value)| format!("{name}={value}"))
-                .collect();
+            sleep(LOG_INTERVAL).await;
+            let current = parse_samples(&self.render());
+            let changed = changed_samples(&previous, &current);
             if !changed.is_empty() {
                 tracing::info!("counters: {}", changed.join(" "));
             }
-            before = now;
+            previous = current;
         }
     }
 }
 
-/// The samples of a text in Prometheus' form, by name and labels.
-fn samples(text: &str) -> BTreeMap<String, String> {
+/// Values by name and labels, as they stand in the Prometheus text format.
+type Samples = BTreeMap<String, String>;
+
+/// Reads the samples of a text in the Prometheus text format.
+fn parse_samples(text: &str) -> Samples {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let samples = lines.filter_map(|line| line.rsplit_once(' '));
     samples.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
 }
+
+/// The samples that are new or differ, as `name=value`.
+fn changed_samples(previous: &Samples, current: &Samples) -> Vec<String> {
+    let changed = current.iter().filter(|(name, value)| previous.get(*name) != Some(*value));
+    changed.map(|(name, value)| format!("{name}={value}")).collect()
+}
--- a/crates/proxy/src/rate_limited_log.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -1,26 +1,29 @@
-//! Log lines about what peers send, at a bounded rate: a peer can repeat itself faster than a log can grow.
+//! Warnings about what peers send, at a bounded rate: a peer can repeat itself faster than the log may grow.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_secs(1);
+/// Least time between two warnings.
+const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets one line a second pass and counts the others.
+/// Logs at most one warning in each [`WARNING_INTERVAL`] and counts those that it suppresses.
 #[derive(Default)]
 pub struct RateLimitedLog {
-    last: Cell<Option<Instant>>,
+    last_logged_at: Cell<Option<Instant>>,
+    /// Warnings suppressed since the last one that was logged.
     skipped: Cell<u64>,
 }
 
 impl RateLimitedLog {
-    /// A warning, unless one has passed within the second.
-    pub fn warn(&self, what: impl FnOnce() -> String) {
+    /// Logs a warning with the number of those suppressed before it, or suppresses it. `message` is called only for a
+    /// warning that is logged.
+    pub fn warn(&self, message: impl FnOnce() -> String) {
         let now = Instant::now();
-        if self.last.get().is_some_and(|last| now - last < EVERY) {
+        if self.last_logged_at.get().is_some_and(|last| now - last < WARNING_INTERVAL) {
             self.skipped.set(self.skipped.get() + 1);
             return;
         }
-        self.last.set(Some(now));
-        tracing::warn!(skipped = self.skipped.replace(0), "{}", what());
+        self.last_logged_at.set(Some(now));
+        tracing::warn!(skipped = self.skipped.replace(0), "{}", message());
     }
 }
