--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -1,33 +1,33 @@
-//! A time span that doubles with each failure, between two bounds.
+//! A time that doubles with each failure, between two bounds.
 
 use std::time::Duration;
 
-/// The span and its bounds.
+/// The present time and its bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
     current: Duration,
 }
 
 impl Backoff {
-    /// One that begins at `least` and grows up to `most`.
-    pub const fn new(least: Duration, most: Duration) -> Self {
-        Self { least, most, current: least }
+    /// A backoff that begins at `min` and grows up to `max`.
+    pub const fn new(min: Duration, max: Duration) -> Self {
+        Self { min, max, current: min }
     }
 
-    /// The span as it stands.
+    /// The present time.
     pub fn current(&self) -> Duration {
         self.current
     }
 
-    /// Doubles the span.
+    /// Doubles the time, up to the maximum.
     pub fn grow(&mut self) {
-        self.current = (self.current * 2).min(self.most);
+        self.current = (self.current * 2).min(self.max);
     }
 
-    /// Begins anew at the least span.
+    /// Begins again at the minimum.
     pub fn reset(&mut self) {
-        self.current = self.least;
+        self.current = self.min;
     }
 }
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,327 +1,171 @@
-//! Discovery: the whole list when asked for it, and the watch on its changes.
+//! The discovery client: the version of the endpoint list in use, and how new ones are fetched and read.
 
-use crate::discovery::backoff::Backoff;
+use crate::discovery::call::{CallStrategy, DiscoveryCaller, DiscoveryResponse};
 use crate::discovery::endpoint_list::{EndpointListError, EndpointListReader, WatchEvent};
-use crate::discovery::json_stream::{JsonStream, Part, SplitError};
+use crate::discovery::error::DiscoveryError;
+use crate::discovery::watch::WATCH_SILENCE_TIMEOUT;
 use crate::metrics::Metrics;
 use crate::rate_limited_log::RateLimitedLog;
-use crate::upstream::connection::Connection;
 use balancer_core::{Availability, UpdateScope};
 use balancer_settings::Site;
-use bytes::Bytes;
-use futures_util::StreamExt;
-use futures_util::stream::FuturesUnordered;
-use http_body_util::{BodyExt, Full};
-use hyper::body::Incoming;
-use hyper::header::HOST;
-use hyper::{Request, StatusCode};
+use http_body_util::{BodyExt, Limited};
 use std::cell::{Cell, RefCell};
-use std::error::Error as StdError;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use thiserror::Error;
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
-use tokio::time::error::Elapsed;
-use tokio::time::{Instant, sleep, timeout, timeout_at};
+use tokio::time::timeout;
 
-/// A watch has a line to say every 2 s. Without one for this long, its first included, it is dead, whatever its
-/// connection looks like. What it misses counts as told 6 s after it fell silent: there has to be time to find that
-/// out, to find the same of the next one, and for a third.
-const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a call may take at first to its answer's head, its connection included, where calls cost discovery work.
-const HEAD_WAIT_LEAST: Duration = Duration::from_millis(1000);
-/// How long it may take at the most. Where discovery is crowded a call that is given up has lost its turn.
-const HEAD_WAIT_MOST: Duration = Duration::from_millis(2500);
-/// Time between two calls while none is answered, where they cost nothing. A call made while discovery was down may never
-/// be answered, and what it has when it is back counts as told: the next call may not be far.
-const CALL_EVERY: Duration = Duration::from_millis(200);
-/// How long such a call may take, so that ten are open at the most: descriptors are few.
-const OVERLAPPING_CALL_MOST: Duration = Duration::from_millis(2000);
-/// The longest list: more is no list.
-const LIST_MOST: usize = 8 * 1024 * 1024;
+/// Where discovery serves the endpoint list.
+pub(super) const LIST_PATH: &str = "/registry/instances";
+/// The longest endpoint list.
+pub(super) const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
+/// How long the body of a fetched list may take.
+const FETCH_BODY_TIMEOUT: Duration = WATCH_SILENCE_TIMEOUT;
 
-/// How far discovery has come with its first answer since the start.
+/// How far the first response of discovery since the start has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Progress {
     /// Nothing has come.
     Waiting,
-    /// Part of an answer.
-    Answering,
-    /// A whole list, or changes of the one known.
-    Told,
+    /// Part of a response has come.
+    Receiving,
+    /// An endpoint list, or changes of the one in use, has come.
+    Received,
 }
 
-/// An answer of discovery, whose body is still to be read, and the connection that it comes on.
-type FinalResponse = (Connection, Incoming);
-
-/// How calls that are answered late are made.
-#[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Calls {
-    /// Calls cost discovery work: each is given up before the next.
-    OneAtATime,
-    /// Calls cost nothing, and what discovery has to tell counts as told.
-    Overlapping,
-}
-
-/// Where discovery is, and how far this balancer has followed it.
+/// The client of one discovery service.
 pub struct Discovery {
-    address: Cell<SocketAddr>,
+    pub(super) caller: DiscoveryCaller,
     reader: EndpointListReader,
-    /// The version of the list in hand; 0: none.
-    rev: Cell<u64>,
-    watch: RefCell<Option<AbortHandle>>,
-    calls: Calls,
-    head_wait: Cell<Backoff>,
+    /// The version of the endpoint list in use; 0 if there is none.
+    version: Cell<u64>,
+    /// The task of the present watch, or of the last one.
+    watch_task: RefCell<Option<AbortHandle>>,
     progress: watch::Sender<Progress>,
-    odd: RateLimitedLog,
-    metrics: Rc<Metrics>,
-}
-
-/// Why a call to discovery, or a watch, came to an end.
-#[derive(Debug, Error)]
-pub enum DiscoveryError {
-    /// Nothing that counts has come for too long.
-    #[error("silent for too long")]
-    Silent(#[from] Elapsed),
-    /// No connection.
-    #[error("no connection: {0}")]
-    Connect(#[from] io::Error),
-    /// The request can't be made.
-    #[error("{0}")]
-    Request(#[from] hyper::http::Error),
-    /// The exchange failed.
-    #[error("{0}")]
-    Http(#[from] hyper::Error),
-    /// An answer other than 200.
-    #[error("status {0}")]
-    Status(StatusCode),
-    /// The answer's body failed or is too long.
-    #[error("the answer: {0}")]
-    Body(Box<dyn StdError + Send + Sync>),
-    /// What came is no sequence of objects.
-    #[error("unreadable: {0}")]
-    Split(#[from] SplitError),
-    /// An object is no list.
-    #[error("unreadable list: {0}")]
-    EndpointList(#[from] EndpointListError),
+    pub(super) log: Rc<RateLimitedLog>,
+    pub(super) metrics: Rc<Metrics>,
 }
 
 impl Discovery {
-    /// Discovery at an address; the site's names turn zones and kinds into numbers.
+    /// A client of discovery at an address. The names of the site turn zones and hardware models into ids.
     pub fn new(address: SocketAddr, site: &Site, metrics: Rc<Metrics>) -> Self {
-        let asked = site.settings.poll_endpoints;
+        let strategy =
+            if site.settings.poll_endpoints { CallStrategy::Sequential } else { CallStrategy::Overlapping };
+        let log = Rc::<RateLimitedLog>::default();
         Self {
-            address: Cell::new(address),
+            caller: DiscoveryCaller::new(address, strategy, Rc::clone(&log), Rc::clone(&metrics)),
             reader: EndpointListReader::new(site.names.clone()),
-            rev: Cell::new(0),
-            watch: RefCell::default(),
-            calls: if asked { Calls::OneAtATime } else { Calls::Overlapping },
-            head_wait: Cell::new(Backoff::new(HEAD_WAIT_LEAST, HEAD_WAIT_MOST)),
+            version: Cell::new(0),
+            watch_task: RefCell::default(),
             progress: watch::Sender::new(Progress::Waiting),
-            odd: RateLimitedLog::default(),
+            log,
             metrics,
         }
     }
 
-    /// The metrics that this balancer counts in.
+    /// The metrics that this client counts in.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// How far discovery has come with its first answer.
+    /// How far the first response of discovery has come.
     pub fn progress(&self) -> watch::Receiver<Progress> {
         self.progress.subscribe()
     }
 
-    /// Tells those who wait for the first answer that something has come.
-    fn advance(&self, to: Progress) {
+    /// Notifies those who wait for the first response that something has come.
+    pub(super) fn advance(&self, to: Progress) {
         self.progress.send_if_modified(|progress| {
-            let waited_for = *progress != Progress::Told;
-            if waited_for {
-                *progress = to;
+            if *progress == Progress::Received {
+                return false;
             }
-            waited_for
+            *progress = to;
+            true
         });
     }
 
-    /// The version of the list in hand; 0: none.
+    /// The version of the endpoint list in use; 0 if there is none.
     pub fn version(&self) -> u64 {
-        self.rev.get()
+        self.version.get()
     }
 
-    /// Reads a list and takes its version for the one in hand.
-    fn read(&self, text: &[u8]) -> Result<WatchEvent, EndpointListError> {
-        let list = self.reader.read(text)?;
-        self.rev.set(list.version);
-        self.note_list(&list.news, text.len());
-        Ok(list.news)
+    /// Has the next watch begin with the whole list: changes of the one in use may have been missed.
+    pub(super) fn discard_version(&self) {
+        self.version.set(0);
     }
 
-    /// The list from the configuration, as [`UpdateScope::Cached`].
-    pub fn known(&self, text: &str) -> WatchEvent {
-        let read = if text.is_empty() { Ok(WatchEvent::failed()) } else { self.read(text.as_bytes()) };
-        let entries = read.map_or_else(
-            |e| {
-                tracing::warn!("the list known before the start is unreadable: {e}");
-                Vec::new()
-            },
-            |news| news.entries,
-        );
+    /// Reads an endpoint list, or changes of the one in use, and adopts its version.
+    pub(super) fn read(&self, text: &[u8]) -> Result<WatchEvent, EndpointListError> {
+        let list = self.reader.read(text)?;
+        self.version.set(list.version);
+        self.record_list(&list.update, text.len());
+        Ok(list.update)
+    }
+
+    /// Reads the endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is unreadable is logged and
+    /// counts as empty.
+    pub fn read_cached(&self, text: &str) -> WatchEvent {
+        let mut entries = Vec::new();
+        if !text.is_empty() {
+            match self.read(text.as_bytes()) {
+                Ok(update) => entries = update.entries,
+                Err(e) => tracing::warn!("cached endpoint list is unreadable: {e}"),
+            }
+        }
         WatchEvent { scope: UpdateScope::Cached, entries }
     }
 
-    fn note_list(&self, news: &WatchEvent, bytes: usize) {
-        let in_state = |state| news.entries.iter().filter(|e| e.place.availability == state).count();
+    fn record_list(&self, update: &WatchEvent, bytes: usize) {
+        let count = |availability| {
+            update.entries.iter().filter(|endpoint| endpoint.state.availability == availability).count()
+        };
         tracing::info!(
-            version = self.rev.get(),
-            scope = ?news.scope,
-            ready = in_state(Availability::Ready),
-            draining = in_state(Availability::Draining),
-            gone = in_state(Availability::Removed),
+            version = self.version(),
+            scope = ?update.scope,
+            ready = count(Availability::Ready),
+            draining = count(Availability::Draining),
+            removed = count(Availability::Removed),
             bytes,
-            "list read"
+            "endpoint list read"
         );
         self.metrics.endpoint_lists.inc();
         self.metrics.endpoint_list_bytes.inc_by(bytes as u64);
-        self.metrics.endpoint_list_version.set(self.rev.get() as i64);
+        self.metrics.endpoint_list_version.set(self.version() as i64);
     }
 
-    /// Asks for the whole list.
+    /// Fetches the whole endpoint list. A failure is logged, and an update of [`UpdateScope::Failed`].
     pub async fn fetch(&self) -> WatchEvent {
-        let read = async {
-            let (_connection, body) = self.call("/registry/instances").await?;
-            let body = http_body_util::Limited::new(body, LIST_MOST);
-            let collected = timeout(WATCH_SILENCE_TIMEOUT, body.collect()).await?;
-            let news = self.read(&collected.map_err(DiscoveryError::Body)?.to_bytes())?;
-            Ok::<_, DiscoveryError>(WatchEvent { scope: UpdateScope::Snapshot, ..news })
-        };
-        read.await.unwrap_or_else(|e| {
-            self.odd.warn(|| format!("no list: {e}"));
+        self.try_fetch().await.unwrap_or_else(|e| {
+            self.log.warn(|| format!("endpoint list not fetched: {e}"));
             WatchEvent::failed()
         })
     }
 
-    /// From now on discovery is elsewhere. The list in hand, and how far it was followed, stay as they are.
-    /// `true` if that is news and a watch was ever begun: it is to be begun anew, and
-    /// [`Discovery::watched_by`] then ends the old one without a word, so that a planned move is no failure
-    /// and nothing that the old address does later undoes it.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
-        self.address.replace(address) != address && self.watch.borrow().is_some()
+    async fn try_fetch(&self) -> Result<WatchEvent, DiscoveryError> {
+        let DiscoveryResponse { connection: _connection, body } = self.caller.call(LIST_PATH).await?;
+        let collect = Limited::new(body, MAX_LIST_BYTES).collect();
+        let collected =
+            timeout(FETCH_BODY_TIMEOUT, collect).await.map_err(|_| DiscoveryError::BodyTimeout)?;
+        let text = collected.map_err(DiscoveryError::Body)?.to_bytes();
+        let update = self.read(&text)?;
+        Ok(WatchEvent { scope: UpdateScope::Snapshot, ..update })
     }
 
-    /// Remembers the task that watches, in place of the one before.
-    pub fn watched_by(&self, task: AbortHandle) {
-        if let Some(before) = self.watch.borrow_mut().replace(task) {
-            before.abort();
-        }
-    }
-
-    /// Watches the list until the watch ends, and tells what comes.
-    pub async fn watch(&self, tell: impl FnMut(WatchEvent)) {
-        let ended = self.follow(tell).await;
-        self.metrics.discovery_failures.inc();
-        match ended {
-            Ok(()) => tracing::info!(version = self.rev.get(), "watch ended by discovery"),
-            Err(e) => self.odd.warn(|| format!("watch ended at version {}: {e}", self.rev.get())),
-        }
-    }
-
-    async fn follow(&self, mut tell: impl FnMut(WatchEvent)) -> Result<(), DiscoveryError> {
-        let target = format!("/registry/instances?stream=1&index={}", self.rev.get());
-        let (_connection, mut body) = self.call(&target).await?;
-        self.advance(Progress::Answering);
-        let mut messages = JsonStream::new(LIST_MOST);
-        let mut last_message_at = Instant::now();
-        while let Some(frame) = timeout_at(last_message_at + WATCH_SILENCE_TIMEOUT, body.frame()).await? {
-            let Ok(data) = frame?.into_data() else { continue };
-            self.advance(Progress::Answering);
-            let began_before = messages.is_within_object();
-            messages.push(&data);
-            let heard = self.deliver_complete_messages(&mut messages, &mut tell).inspect_err(|_| {
-                // What it said is missing now, a drain perhaps: the whole list is asked for again.
-                self.rev.set(0);
-            })?;
-            // The beginning of a list is a word too: a long one takes its time from there.
-            if heard || (messages.is_within_object() && !began_before) {
-                last_message_at = Instant::now();
-            }
-        }
-        Ok(())
-    }
-
-    /// Tells all lists that are whole. Whether anything was heard: a list, or an empty line.
-    fn deliver_complete_messages(
-        &self,
-        messages: &mut JsonStream,
-        tell: &mut impl FnMut(WatchEvent),
-    ) -> Result<bool, DiscoveryError> {
-        let mut heard = false;
-        while let Some(part) = messages.next_part()? {
-            heard = true;
-            if let Part::Object(text) = part {
-                tell(self.read(&text)?);
-                self.advance(Progress::Told);
-            }
-        }
-        Ok(heard)
-    }
-
-    /// Calls and waits for the answer's head.
-    async fn call(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
-        match self.calls {
-            Calls::OneAtATime => self.call_patiently(target).await,
-            Calls::Overlapping => self.call_overlapping(target).await,
-        }
-    }
-
-    /// Makes one call. After one that was given up for lateness the next is given twice the time.
-    async fn call_patiently(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
-        let mut head_wait = self.head_wait.get();
-        let answered = timeout(head_wait.current(), self.ask(target)).await;
-        match &answered {
-            Ok(Ok(_)) => head_wait.reset(),
-            Ok(Err(_)) => {}
-            Err(_) => head_wait.grow(),
-        }
-        self.head_wait.set(head_wait);
-        answered?
-    }
-
-    /// Makes a call, and another while it is late: whether discovery is late or never answers the first one can't be told.
-    /// The first head that comes counts.
-    async fn call_overlapping(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
-        let mut calls = FuturesUnordered::new();
-        loop {
-            calls.push(timeout(OVERLAPPING_CALL_MOST, self.ask(target)));
-            let next_call = sleep(CALL_EVERY);
-            tokio::pin!(next_call);
-            loop {
-                tokio::select! {
-                    Some(answered) = calls.next() => match answered {
-                        Ok(Ok(answer)) => return Ok(answer),
-                        Ok(Err(e)) if calls.is_empty() => return Err(e),
-                        Ok(Err(e)) => self.odd.warn(|| format!("a call failed beside others: {e}")),
-                        Err(_) => self.odd.warn(|| "a call was given up for lateness".to_owned()),
-                    },
-                    () = &mut next_call => break,
-                }
-            }
-        }
+    /// Makes later calls at another address. The endpoint list in use and its version stay.
+    ///
+    /// Returns whether a watch has to be begun anew: the address is a new one, and a watch was ever begun.
+    /// [`Discovery::replace_watch_task`] then aborts the old watch without an event, so that a planned move does not
+    /// count as a failure and nothing that the old address sends later overrides the new one.
+    pub fn move_to(&self, address: SocketAddr) -> bool {
+        self.caller.set_address(address) && self.watch_task.borrow().is_some()
     }
 
-    async fn ask(&self, target: &str) -> Result<FinalResponse, DiscoveryError> {
-        let address = self.address.get();
-        self.metrics.discovery_calls.inc();
-        tracing::info!(%address, target, "call to discovery");
-        let mut connection = Connection::open(address, ()).await?;
-        let request = Request::get(target).header(HOST, address.to_string());
-        let response = connection.send(request.body(Full::<Bytes>::default())?).await?;
-        if response.status() != StatusCode::OK {
-            return Err(DiscoveryError::Status(response.status()));
+    /// Remembers the task of the present watch and aborts the one before.
+    pub fn replace_watch_task(&self, task: AbortHandle) {
+        if let Some(previous) = self.watch_task.borrow_mut().replace(task) {
+            previous.abort();
         }
-        Ok((connection, response.into_body()))
     }
 }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams as discovery words it, read into what the balancer knows of each.
+//! Endpoint lists in the wire format of discovery, read into the types of the balancer.
 
 use crate::rate_limited_log::RateLimitedLog;
 use crate::upstream::attempt::EndpointState;
@@ -6,26 +6,36 @@
 use balancer_settings::Names;
 use serde::Deserialize;
 use serde_json::value::RawValue;
+use std::net::SocketAddr;
 use thiserror::Error;
 
-/// An upstream as listed, for the library and for the connections.
+/// The zone of an upstream that states none, or one that the settings do not name.
+const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
+/// The hardware of an upstream that states none, or one that the settings do not name.
+const UNKNOWN_HARDWARE: HardwareId = HardwareId(u16::MAX);
+/// The cell of an upstream whose entry is unreadable.
+const UNKNOWN_CELL: CellId = CellId(u16::MAX);
+/// The weight of an upstream that states none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// One upstream in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its id, made of its uid alone: the same at every balancer, and wherever it listens.
+    /// Its id, a hash of its uid alone: the same at every balancer, whatever its address.
     pub id: UpstreamId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its kind.
-    pub kind: HardwareId,
+    /// Its hardware model.
+    pub hardware: HardwareId,
     /// Its cell.
     pub cell: CellId,
     /// Its weight.
     pub weight: f64,
-    /// Where it is, and how it stands.
-    pub place: EndpointState,
+    /// Its address, availability and start.
+    pub state: EndpointState,
 }
 
-/// News of the list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
     /// How complete it is.
@@ -35,146 +45,163 @@
 }
 
 impl WatchEvent {
-    /// That a call failed or a watch ended.
+    /// The failure of a call, or the end of a watch.
     pub fn failed() -> Self {
         Self { scope: UpdateScope::Failed, entries: Vec::new() }
     }
 }
 
-/// A list, or changes of one, with its version.
+/// An endpoint list, or changes of one, with its version.
 pub struct EndpointList {
     /// The version.
     pub version: u64,
-    /// What it says.
-    pub news: WatchEvent,
+    /// The entries.
+    pub update: WatchEvent,
 }
 
-/// Why a text is no list.
+/// A text that is not an endpoint list.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct EndpointListError(#[from] serde_json::Error);
 
-/// Why an entry of a list can't be taken as it is.
+/// Why an entry of a list is not used as it is.
 #[derive(Debug, Error)]
 enum EntryError {
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("{uid}: unknown state {state:?}")]
-    State { uid: String, state: String },
+    UnknownState { uid: String, state: String },
     #[error("{uid}: no address")]
     NoAddress { uid: String },
 }
 
+/// A list as it is on the wire.
 #[derive(Deserialize)]
 struct RawList<'a> {
-    rev: u64,
-    #[serde(default)]
-    all: bool,
-    #[serde(borrow)]
-    targets: Vec<&'a RawValue>,
+    #[serde(rename = "rev")]
+    version: u64,
+    #[serde(rename = "all", default)]
+    is_snapshot: bool,
+    #[serde(rename = "targets", borrow)]
+    entries: Vec<&'a RawValue>,
 }
 
+/// An entry as it is on the wire.
 #[derive(Deserialize)]
 struct RawEntry<'a> {
     uid: String,
-    #[serde(borrow, default)]
-    endpoint: Option<&'a RawValue>,
+    #[serde(rename = "endpoint", borrow, default)]
+    address: Option<&'a RawValue>,
     state: String,
-    #[serde(default)]
-    az: Option<String>,
-    #[serde(default)]
-    model: Option<String>,
-    #[serde(default)]
-    pod_group: Option<f64>,
-    #[serde(default)]
-    capacity_hint: Option<f64>,
-    #[serde(default)]
-    boot_ms: Option<f64>,
+    #[serde(rename = "az", default)]
+    zone: Option<String>,
+    #[serde(rename = "model", default)]
+    hardware: Option<String>,
+    #[serde(rename = "pod_group", default)]
+    cell: Option<f64>,
+    #[serde(rename = "capacity_hint", default)]
+    weight: Option<f64>,
+    #[serde(rename = "boot_ms", default)]
+    started_at_unix_ms: Option<f64>,
 }
 
-/// The weight of an upstream of which none is told.
-const WEIGHT_UNTOLD: f64 = 1.0;
-
-/// The part of an entry that tells whose it is.
+/// The part of an entry that says which upstream it is about.
 #[derive(Deserialize)]
 struct RawIdentity {
     uid: String,
 }
 
-/// An upstream of which nothing more is known than that it may drain.
-fn unusable_entry(text: &str) -> Result<DiscoveredEndpoint, serde_json::Error> {
-    let identity: RawIdentity = serde_json::from_str(text)?;
-    Ok(DiscoveredEndpoint {
-        id: stable_id(&identity.uid),
-        zone: ZoneId(u8::MAX),
-        kind: HardwareId(u16::MAX),
-        cell: CellId(u16::MAX),
-        weight: WEIGHT_UNTOLD,
-        place: EndpointState { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
-    })
-}
-
-/// FNV-1a: an id that no process, build or machine sees differently.
-fn stable_id(uid: &str) -> UpstreamId {
-    UpstreamId(uid.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    }))
-}
-
-/// Reads lists.
+/// Reads endpoint lists.
 pub struct EndpointListReader {
     names: Names,
-    odd: RateLimitedLog,
+    log: RateLimitedLog,
 }
 
 impl EndpointListReader {
-    /// A reader that turns these names of zones and kinds into numbers.
+    /// A reader that turns these names of zones and hardware models into ids.
     pub fn new(names: Names) -> Self {
-        Self { names, odd: RateLimitedLog::default() }
+        Self { names, log: RateLimitedLog::default() }
     }
 
-    /// Reads a list. Who can be told from an entry that is unreadable otherwise is taken to drain, so that
-    /// nothing is sent there; any other such entry is skipped. A list that can't be read is an error.
+    /// Reads a list; fails if the text is none. An entry that is unreadable but for its uid counts as draining, so that
+    /// nothing is sent to that upstream; one without a readable uid is skipped. Both are logged.
     pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
         let raw: RawList<'_> = serde_json::from_slice(text)?;
-        let entries = raw.targets.iter().filter_map(|target| self.entry_or_draining(target.get())).collect();
-        let scope = if raw.all { UpdateScope::Snapshot } else { UpdateScope::Delta };
-        Ok(EndpointList { version: raw.rev, news: WatchEvent { scope, entries } })
+        let entries = raw.entries.iter().filter_map(|entry| self.read_entry_or_draining(entry.get()));
+        let entries = entries.collect();
+        let scope = if raw.is_snapshot { UpdateScope::Snapshot } else { UpdateScope::Delta };
+        Ok(EndpointList { version: raw.version, update: WatchEvent { scope, entries } })
     }
 
-    fn entry_or_draining(&self, text: &str) -> Option<DiscoveredEndpoint> {
-        let entry = self.entry(text).or_else(|e| {
-            self.odd.warn(|| format!("unreadable list entry: {e}"));
-            unusable_entry(text)
-        });
-        entry.ok()
+    fn read_entry_or_draining(&self, text: &str) -> Option<DiscoveredEndpoint> {
+        match self.read_entry(text) {
+            Ok(endpoint) => Some(endpoint),
+            Err(e) => {
+                self.log.warn(|| format!("unreadable list entry: {e}"));
+                draining_endpoint(text)
+            }
+        }
     }
 
-    fn entry(&self, text: &str) -> Result<DiscoveredEndpoint, EntryError> {
+    fn read_entry(&self, text: &str) -> Result<DiscoveredEndpoint, EntryError> {
         let raw: RawEntry<'_> = serde_json::from_str(text)?;
-        let availability = match raw.state.as_str() {
-            "Ready" => Availability::Ready,
-            "Terminating" => Availability::Draining,
-            "Gone" => Availability::Removed,
-            _ => return Err(EntryError::State { uid: raw.uid, state: raw.state }),
+        let Some(availability) = availability(&raw.state) else {
+            return Err(EntryError::UnknownState { uid: raw.uid, state: raw.state });
         };
-        let endpoint = raw.endpoint.and_then(|e| serde_json::from_str(e.get()).ok());
-        if endpoint.is_none() && availability == Availability::Ready {
+        let address: Option<SocketAddr> =
+            raw.address.and_then(|address| serde_json::from_str(address.get()).ok());
+        if address.is_none() && availability == Availability::Ready {
             return Err(EntryError::NoAddress { uid: raw.uid });
         }
-        let position =
-            |names: &[String], name: Option<String>| names.iter().position(|n| Some(n) == name.as_ref());
+        let zone = position(&self.names.zones, raw.zone.as_deref());
+        let hardware = position(&self.names.kinds, raw.hardware.as_deref());
         Ok(DiscoveredEndpoint {
             id: stable_id(&raw.uid),
-            zone: ZoneId(position(&self.names.zones, raw.az).map_or(u8::MAX, |z| z as u8)),
-            kind: HardwareId(position(&self.names.kinds, raw.model).map_or(u16::MAX, |k| k as u16)),
-            cell: CellId(raw.pod_group.unwrap_or_default() as u16),
-            weight: raw.capacity_hint.unwrap_or(WEIGHT_UNTOLD),
-            place: EndpointState {
-                endpoint,
+            zone: zone.map_or(UNKNOWN_ZONE, |index| ZoneId(index as u8)),
+            hardware: hardware.map_or(UNKNOWN_HARDWARE, |index| HardwareId(index as u16)),
+            cell: CellId(raw.cell.unwrap_or_default() as u16),
+            weight: raw.weight.unwrap_or(DEFAULT_WEIGHT),
+            state: EndpointState {
+                endpoint: address,
                 availability,
-                boot_ms: raw.boot_ms.unwrap_or_default().max(0.0) as u64,
+                boot_ms: raw.started_at_unix_ms.unwrap_or_default().max(0.0) as u64,
             },
         })
     }
 }
+
+/// The availability that a state on the wire stands for.
+fn availability(state: &str) -> Option<Availability> {
+    match state {
+        "Ready" => Some(Availability::Ready),
+        "Terminating" => Some(Availability::Draining),
+        "Gone" => Some(Availability::Removed),
+        _ => None,
+    }
+}
+
+/// The position of a name in the settings.
+fn position(names: &[String], name: Option<&str>) -> Option<usize> {
+    names.iter().position(|known| Some(known.as_str()) == name)
+}
+
+/// The upstream of an entry of which only the uid is readable.
+fn draining_endpoint(text: &str) -> Option<DiscoveredEndpoint> {
+    let identity: RawIdentity = serde_json::from_str(text).ok()?;
+    Some(DiscoveredEndpoint {
+        id: stable_id(&identity.uid),
+        zone: UNKNOWN_ZONE,
+        hardware: UNKNOWN_HARDWARE,
+        cell: UNKNOWN_CELL,
+        weight: DEFAULT_WEIGHT,
+        state: EndpointState { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
+    })
+}
+
+/// Hashes a uid by FNV-1a, so that every process, build and machine has the same id for it.
+fn stable_id(uid: &str) -> UpstreamId {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0000_0100_0000_01b3;
+    let hash = uid.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME));
+    UpstreamId(hash)
+}
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -1,8 +1,8 @@
 //! Splits a stream of bytes into the JSON objects that follow each other in it.
 //!
-//! Objects may be indented, so that the end of a line is not the end of an object, and they come in pieces
-//! that end anywhere, within a number too. An incremental parser follows them: each byte is looked at once,
-//! and what can't become an object is told from what is not whole yet.
+//! The end of a line is not the end of an object, as objects may be indented, and chunks end anywhere, within a number
+//! too. An incremental parser follows the bytes: it sees each of them once, and tells an object that is incomplete from
+//! one that is malformed.
 
 use actson::feeder::PushJsonFeeder;
 use actson::parser::ParserError;
@@ -16,82 +16,84 @@
     /// Something other than an object or white space.
     #[error("byte {0:#04x} outside of any object")]
     OutsideOfObject(u8),
-    /// Not JSON.
-    #[error("at byte {at}: {error}")]
+    /// Malformed JSON.
+    #[error("at byte {offset}: {source}")]
     Json {
-        /// How much of the object was parsed.
-        at: usize,
-        /// What is wrong with it.
-        error: ParserError,
+        /// How many bytes of the object were parsed.
+        offset: usize,
+        /// What is wrong.
+        source: ParserError,
     },
-    /// An object of more bytes than allowed.
+    /// An object that is incomplete after more bytes than allowed.
     #[error("an object of more than {0} bytes")]
     TooLong(usize),
 }
 
-/// What comes next in a stream.
+/// An item of a stream.
 #[derive(Debug, PartialEq)]
-pub enum Part {
-    /// A whole object.
+pub enum StreamItem {
+    /// A complete object.
     Object(Bytes),
     /// The end of a line outside of any object.
     LineEnd,
 }
 
-/// An object that is not whole.
+/// An object that is incomplete.
 struct OpenObject {
     parser: JsonParser<PushJsonFeeder>,
-    /// How much of what is pending the parser has been given.
+    /// How many bytes of the buffer the parser has been given.
     fed: usize,
-    /// Brackets open.
+    /// How many objects and arrays are open.
     depth: usize,
 }
 
-/// The state of the split.
+/// Splits one stream.
 pub struct JsonStream {
-    /// What has not been given out; with an open object it begins with that.
-    pending: BytesMut,
-    open: Option<OpenObject>,
-    longest: usize,
+    /// What has not been returned as an item. Where an object is open, it begins with that object.
+    buffer: BytesMut,
+    open_object: Option<OpenObject>,
+    max_object_bytes: usize,
 }
 
 impl JsonStream {
-    /// For objects of at most `longest` bytes.
-    pub fn new(longest: usize) -> Self {
-        Self { pending: BytesMut::new(), open: None, longest }
+    /// A stream in which an object that is incomplete after `max_object_bytes` bytes is an error.
+    pub fn new(max_object_bytes: usize) -> Self {
+        Self { buffer: BytesMut::new(), open_object: None, max_object_bytes }
     }
 
-    /// Takes in the next piece.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.pending.extend_from_slice(piece);
+    /// Adds the next chunk of the stream.
+    pub fn push(&mut self, chunk: &[u8]) {
+        self.buffer.extend_from_slice(chunk);
     }
 
-    /// Whether an object has begun that is not whole.
+    /// Whether an object has begun that is incomplete.
     pub fn is_within_object(&self) -> bool {
-        self.open.is_some()
+        self.open_object.is_some()
     }
 
-    /// The next part that is whole; `None` if the next piece is needed.
-    pub fn next_part(&mut self) -> Result<Option<Part>, SplitError> {
-        while self.open.is_none() {
-            let Some(&first) = self.pending.first() else { return Ok(None) };
+    /// Returns the next item, or `None` if it takes another chunk. After an error the stream cannot be used any more.
+    pub fn next_item(&mut self) -> Result<Option<StreamItem>, SplitError> {
+        while self.open_object.is_none() {
+            let Some(&first) = self.buffer.first() else { return Ok(None) };
             match first {
-                b'{' => self.open = Some(OpenObject::new()),
+                b'{' => self.open_object = Some(OpenObject::new()),
                 b'\n' => {
-                    self.pending.advance(1);
-                    return Ok(Some(Part::LineEnd));
+                    self.buffer.advance(1);
+                    return Ok(Some(StreamItem::LineEnd));
                 }
-                b' ' | b'\t' | b'\r' => self.pending.advance(1),
+                b' ' | b'\t' | b'\r' => self.buffer.advance(1),
                 other => return Err(SplitError::OutsideOfObject(other)),
             }
         }
-        let Some(open) = &mut self.open else { return Ok(None) };
-        let Some(length) = open.parse(&self.pending)? else {
-            let too_long = self.pending.len() > self.longest;
-            return if too_long { Err(SplitError::TooLong(self.longest)) } else { Ok(None) };
+        let Some(open_object) = &mut self.open_object else { return Ok(None) };
+        let Some(length) = open_object.parse(&self.buffer)? else {
+            if self.buffer.len() > self.max_object_bytes {
+                return Err(SplitError::TooLong(self.max_object_bytes));
+            }
+            return Ok(None);
         };
-        self.open = None;
-        Ok(Some(Part::Object(self.pending.split_to(length).freeze())))
+        self.open_object = None;
+        Ok(Some(StreamItem::Object(self.buffer.split_to(length).freeze())))
     }
 }
 
@@ -100,25 +102,26 @@
         Self { parser: JsonParser::new(PushJsonFeeder::new()), fed: 0, depth: 0 }
     }
 
-    /// Parses what has come since; the object's length once it is whole. `pending` begins with the object.
-    fn parse(&mut self, pending: &[u8]) -> Result<Option<usize>, SplitError> {
+    /// Parses what has been added to the buffer, which begins with the object. Returns the length of the object once it
+    /// is complete.
+    fn parse(&mut self, buffer: &[u8]) -> Result<Option<usize>, SplitError> {
         loop {
             let event = self.parser.next_event();
-            let at = self.parser.parsed_bytes();
-            match event.map_err(|error| SplitError::Json { at, error })? {
-                Some(JsonEvent::NeedMoreInput) if self.fed == pending.len() => return Ok(None),
+            let offset = self.parser.parsed_bytes();
+            match event.map_err(|source| SplitError::Json { offset, source })? {
+                Some(JsonEvent::NeedMoreInput) if self.fed == buffer.len() => return Ok(None),
                 Some(JsonEvent::NeedMoreInput) => {
-                    self.fed += self.parser.feeder.push_bytes(&pending[self.fed..]);
+                    self.fed += self.parser.feeder.push_bytes(&buffer[self.fed..]);
                 }
                 Some(JsonEvent::StartObject | JsonEvent::StartArray) => self.depth += 1,
                 Some(JsonEvent::EndObject | JsonEvent::EndArray) => {
                     self.depth = self.depth.saturating_sub(1);
                     if self.depth == 0 {
-                        return Ok(Some(at));
+                        return Ok(Some(offset));
                     }
                 }
                 Some(_) => {}
-                None => return Err(SplitError::Json { at, error: ParserError::NoMoreInput }),
+                None => return Err(SplitError::Json { offset, source: ParserError::NoMoreInput }),
             }
         }
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,6 +1,9 @@
-//! Service discovery: follows the endpoint list by a watch.
+//! Service discovery: reads the endpoint list and follows its changes by a watch.
 
 pub mod backoff;
+mod call;
 pub mod client;
 pub mod endpoint_list;
-pub mod json_stream;
+mod error;
+mod json_stream;
+mod watch;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -333,7 +333,7 @@
         let discovery = Discovery::new(address, &site, Rc::default());
         let endpoint = upstream.local_addr().unwrap();
         let entry = format!(r#"{{"uid":"s-0","endpoint":"{endpoint}","state":"Ready"}}"#);
-        let known = discovery.known(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
+        let known = discovery.read_cached(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
         let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
         let driver = Driver::start(balancer, upstreams, discovery, known, true);
         let (_phase, phases) = watch::channel(LifecyclePhase::Serving);
@@ -378,8 +378,8 @@
             });
             let entries: Vec<_> = entries.collect();
             let discovery = Discovery::new(address, &site, Rc::default());
-            let known =
-                discovery.known(&format!(r#"{{"rev":1,"all":true,"targets":[{}]}}"#, entries.join(",")));
+            let known = discovery
+                .read_cached(&format!(r#"{{"rev":1,"all":true,"targets":[{}]}}"#, entries.join(",")));
             let balancer = Balancer::new(site.settings.clone(), 7).unwrap();
             let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
             let driver = Driver::start(balancer, upstreams, discovery, known, true);
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -309,15 +309,15 @@
             self.upstreams.retain_listed(|id| ids.contains(&id));
         }
         let listed = news.entries.iter().map(|entry| {
-            self.upstreams.apply_entry(entry.id, &entry.place);
+            self.upstreams.apply_entry(entry.id, &entry.state);
             EndpointEntry {
                 id: entry.id,
                 zone: entry.zone,
-                hardware: entry.kind,
+                hardware: entry.hardware,
                 cell: entry.cell,
-                availability: entry.place.availability,
+                availability: entry.state.availability,
                 weight: entry.weight,
-                started_at: self.clock.at_unix_ms(entry.place.boot_ms),
+                started_at: self.clock.at_unix_ms(entry.state.boot_ms),
             }
         });
         listed.collect()
@@ -384,7 +384,7 @@
                 }
             }
         });
-        self.discovery.watched_by(watch.abort_handle());
+        self.discovery.replace_watch_task(watch.abort_handle());
     }
 
     /// How far discovery has come with its first answer.
@@ -644,7 +644,7 @@
         let endpoint = upstream.local_addr().unwrap();
         let discovery = Discovery::new(endpoint, &site, Rc::default());
         let entry = format!(r#"{{"uid":"s-0","endpoint":"{endpoint}","state":"Ready"}}"#);
-        let known = discovery.known(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
+        let known = discovery.read_cached(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
         let mut settings = site.settings.clone();
         settings.connect_timeout = LONG;
         let balancer = Balancer::new(settings.clone(), 7).unwrap();
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -89,7 +89,7 @@
     let (connections, long_answers) = (config.upstream_connections(), config.long_answers());
     let upstreams = Upstreams::new(settings, connections, long_answers, Rc::clone(&metrics));
     let discovery = Discovery::new(config.discovery, &config.site, Rc::clone(&metrics));
-    let known = discovery.known(&config.known);
+    let known = discovery.read_cached(&config.known);
     tracing::info!(
         upstreams = known.entries.len(),
         version = discovery.version(),
@@ -151,7 +151,7 @@
     let told = async {
         loop {
             match timeout(FIRST_LIST_SILENCE_MOST, progress.changed()).await {
-                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Told => return true,
+                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Received => return true,
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return false,
             }
