--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -188,7 +188,7 @@
                 }
             }
             _ => match self.read(client, request, whole_by).await {
-                Ok((asked, _open)) => render_response(self.driver.submit(asked).answer().await),
+                Ok((asked, _open)) => render_response(self.driver.submit(asked).response().await),
                 Err(RequestError(status, why)) => plain(status, why),
             },
         };
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -169,7 +169,10 @@
         let outgoing = OutgoingRequest { method, target, headers, body };
         // A request's time counts from its last byte: a client that writes slowly waits no less.
         let deadline = Instant::now() + left.saturating_sub(ON_THE_WAY);
-        Ok((IncomingRequest { class, tenant, deadline, expected_work_ms, repeat, outgoing }, open))
+        Ok((
+            IncomingRequest { class, tenant, deadline, expected_work_ms, is_client_retry: repeat, outgoing },
+            open,
+        ))
     }
 }
 
--- /dev/null
+++ b/crates/proxy/src/driver/events.rs
@@ -0,0 +1,157 @@
+//! How each event is handled: what the driver does about it, and what the balancer is told.
+
+use crate::discovery::endpoint_list::WatchEvent;
+use crate::driver::event_queue::DriverEvent;
+use crate::driver::in_flight::ResponseSender;
+use crate::driver::request::FinalResponse;
+use crate::driver::{Core, Driver};
+use crate::headers::CORRELATION_ID;
+use crate::metrics::ResponseKind;
+use crate::upstream::attempt::AttemptResult;
+use balancer_core::{AttemptIndex, EndpointEntry, Event, RequestId, UpdateScope, UpstreamId};
+use rustc_hash::FxHashSet;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl Driver {
+    /// Handles one event and carries out the actions that it leads to.
+    pub(super) fn handle_event(self: &Rc<Self>, core: &mut Core, event: DriverEvent) {
+        let now = self.clock.now();
+        match event {
+            DriverEvent::EndpointUpdate { update } => self.handle_endpoint_update(core, now, &update),
+            DriverEvent::RequestArrived { id } => self.handle_request_arrived(core, now, id),
+            DriverEvent::AttemptEnded { id, attempt, result } => {
+                self.handle_attempt_ended(core, now, id, attempt, result);
+            }
+            DriverEvent::HealthCheckEnded { upstream, latency, result } => {
+                handle_health_check_ended(core, now, upstream, latency, &result);
+            }
+            DriverEvent::ClientDisconnected { id } => self.handle_client_disconnected(core, now, id),
+            DriverEvent::TimerFired { timer } => core.handle(now, Event::TimerFired { timer }),
+        }
+        // The vector goes back for its allocation.
+        let mut actions = std::mem::take(&mut core.actions);
+        for action in actions.drain(..) {
+            self.carry_out(core, action);
+        }
+        core.actions = actions;
+    }
+
+    fn handle_endpoint_update(&self, core: &mut Core, now: Duration, update: &WatchEvent) {
+        let entries = self.apply_endpoint_update(update);
+        core.handle(now, Event::EndpointUpdate { scope: update.scope, entries: &entries });
+    }
+
+    /// Applies an update to the connections and returns its entries for the balancer.
+    fn apply_endpoint_update(&self, update: &WatchEvent) -> Vec<EndpointEntry> {
+        if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
+            let listed: FxHashSet<UpstreamId> = update.entries.iter().map(|endpoint| endpoint.id).collect();
+            self.upstreams.retain_listed(|id| listed.contains(&id));
+        }
+        let mut entries = Vec::with_capacity(update.entries.len());
+        for endpoint in &update.entries {
+            self.upstreams.apply_entry(endpoint.id, &endpoint.state);
+            entries.push(EndpointEntry {
+                id: endpoint.id,
+                zone: endpoint.zone,
+                hardware: endpoint.hardware,
+                cell: endpoint.cell,
+                availability: endpoint.state.availability,
+                weight: endpoint.weight,
+                started_at: self.clock.at_unix_ms(endpoint.state.boot_ms),
+            });
+        }
+        entries
+    }
+
+    fn handle_request_arrived(&self, core: &mut Core, now: Duration, id: RequestId) {
+        let Some(request) = core.requests.get(id) else { return };
+        let incoming = &request.incoming;
+        self.metrics.requests.inc();
+        let correlation_id = incoming.outgoing.headers.get(CORRELATION_ID);
+        tracing::debug!(id = id.0, ?correlation_id, class = incoming.class.0, "request");
+        let event = Event::RequestArrived {
+            id,
+            class: incoming.class,
+            tenant: incoming.tenant,
+            time_left: incoming.deadline.saturating_duration_since(Instant::now()),
+            expected_work_ms: incoming.expected_work_ms,
+            is_client_retry: incoming.is_client_retry,
+        };
+        core.handle(now, event);
+    }
+
+    fn handle_attempt_ended(
+        &self,
+        core: &mut Core,
+        now: Duration,
+        id: RequestId,
+        index: AttemptIndex,
+        result: AttemptResult,
+    ) {
+        let Some(request) = core.requests.get_mut(id) else { return };
+        // An attempt may have ended by itself just before it was cancelled: only the first of both events counts.
+        let Some(attempt) = request.attempt_in_flight(index) else { return };
+        attempt.is_in_flight = false;
+        let upstream = attempt.upstream;
+        let latency = attempt.sent_at.elapsed();
+        let outcome = result.outcome;
+        tracing::debug!(
+            id = id.0,
+            attempt = index.0,
+            upstream = upstream.0,
+            ?latency,
+            ?outcome,
+            "attempt ended"
+        );
+        self.metrics.record_attempt(outcome.into());
+        // Dropped if the request has had its final response, from another attempt for instance.
+        if let Some(response) = result.served
+            && let Some(response_sender) = request.response_sender.take()
+        {
+            self.send_response(id, response_sender, FinalResponse::Served(response));
+        }
+        let event = Event::AttemptEnded {
+            id,
+            attempt: index,
+            upstream,
+            outcome,
+            latency,
+            request_finished: request.response_sender.is_none(),
+            load_report: &result.report,
+        };
+        core.handle(now, event);
+        core.requests.remove_if_finished(id);
+    }
+
+    fn handle_client_disconnected(&self, core: &mut Core, now: Duration, id: RequestId) {
+        let Some(request) = core.requests.get_mut(id) else { return };
+        if request.response_sender.take().is_some() {
+            tracing::debug!(id = id.0, "client disconnected");
+            self.metrics.record_response(ResponseKind::ClientDisconnected);
+            core.handle(now, Event::ClientDisconnected { id });
+        }
+        core.requests.remove_if_finished(id);
+    }
+
+    /// Sends and counts the final response of a request.
+    pub(super) fn send_response(&self, id: RequestId, sender: ResponseSender, response: FinalResponse) {
+        let kind = response.kind();
+        tracing::debug!(id = id.0, ?kind, "final response");
+        self.metrics.record_response(kind);
+        sender.send(response);
+    }
+}
+
+fn handle_health_check_ended(
+    core: &mut Core,
+    now: Duration,
+    upstream: UpstreamId,
+    latency: Duration,
+    result: &AttemptResult,
+) {
+    let event =
+        Event::HealthCheckEnded { upstream, outcome: result.outcome, latency, load_report: &result.report };
+    core.handle(now, event);
+}
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -92,7 +92,7 @@
     registry: Registry,
     responses: Family<ResponseLabels, Counter>,
     attempts: Family<AttemptLabels, Counter>,
-    /// Requests played into the balancer.
+    /// Requests handed to the balancer.
     pub requests: Counter,
     /// Attempts after the first one of their request.
     pub retries_and_hedges: Counter,
@@ -136,7 +136,7 @@
         registry.register("responses", "Requests that ended, by kind of response", self.responses.clone());
         registry.register("attempts", "Attempts that ended, by outcome", self.attempts.clone());
         let counters = [
-            ("requests", "Requests played into the balancer", &self.requests),
+            ("requests", "Requests handed to the balancer", &self.requests),
             ("retries_and_hedges", "Attempts after the first of their request", &self.retries_and_hedges),
             ("withheld_attempts", "Attempts not sent to a draining upstream", &self.withheld_attempts),
             ("discovery_calls", "Calls to discovery", &self.discovery_calls),
