--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -135,7 +135,7 @@
         self.metrics.endpoint_list_version.set(self.version() as i64);
     }
 
-    /// Fetches the whole endpoint list. A failure is logged, and an update of [`UpdateScope::Failed`].
+    /// Fetches the whole endpoint list. A failure is logged and returned as an update of [`UpdateScope::Failed`].
     pub async fn fetch(&self) -> WatchEvent {
         self.try_fetch().await.unwrap_or_else(|e| {
             self.log.warn(|| format!("endpoint list not fetched: {e}"));
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,5 +1,8 @@
 //! Endpoint lists in the wire format of discovery, read into the types of the balancer.
 
+#[cfg(test)]
+mod tests;
+
 use crate::rate_limited_log::RateLimitedLog;
 use crate::upstream::attempt::EndpointState;
 use balancer_core::{Availability, CellId, HardwareId, UpdateScope, UpstreamId, ZoneId};
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -4,6 +4,9 @@
 //! too. An incremental parser follows the bytes: it sees each of them once, and tells an object that is incomplete from
 //! one that is malformed.
 
+#[cfg(test)]
+mod tests;
+
 use actson::feeder::PushJsonFeeder;
 use actson::parser::ParserError;
 use actson::{JsonEvent, JsonParser};
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A watch without a message for this long has failed, whatever the state of its connection: discovery sends at least
-/// an empty line every 2 s. A change counts as delivered 6 s after the watch fell silent, which leaves time to find out,
-/// to find the same of the next watch, and to begin a third.
+/// an empty line every 2 s. A change counts as delivered 6 s after the watch fell silent, which leaves time to find
+/// out, to find the same of the next watch, and to begin a third.
 pub(super) const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl Discovery {
@@ -45,7 +45,7 @@
                 .deliver_complete_messages(&mut messages, &mut deliver)
                 // An unreadable message may have been a drain.
                 .inspect_err(|_| self.discard_version())?;
-            // The beginning of a list counts as a message: a long list has the whole timeout from there.
+            // The beginning of a list counts as a message: a long list has the full timeout from there.
             let list_began = messages.is_within_object() && !was_within_object;
             if received_message || list_began {
                 last_message_at = Instant::now();
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -1,5 +1,8 @@
 //! The clock that the balancer's events are stamped with.
 
+#[cfg(test)]
+mod tests;
+
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/proxy/src/driver/event_queue.rs
+++ b/crates/proxy/src/driver/event_queue.rs
@@ -1,5 +1,8 @@
 //! The queue of events for the balancer.
 
+#[cfg(test)]
+mod tests;
+
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::upstream::attempt::AttemptResult;
 use balancer_core::{AttemptIndex, RequestId, TimerId, UpstreamId};
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -57,7 +57,7 @@
 }
 
 impl InFlightRequest {
-    /// The index that the next attempt gets.
+    /// The index that the next attempt gets. It does not wrap: the settings allow at most 255 attempts.
     pub(super) fn next_attempt(&self) -> AttemptIndex {
         AttemptIndex(self.attempts.len() as u8)
     }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -32,7 +32,8 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The balancer and the requests that it decides on. Borrowed only while an event is handled, and when a request is added.
+/// The balancer and the requests that it decides on. Borrowed only while an event is handled and when a request is
+/// added.
 struct Core {
     balancer: Balancer,
     requests: InFlightRequests,
@@ -62,7 +63,7 @@
 }
 
 impl Driver {
-    /// Starts a driver with the endpoint list known before the start. `polls_endpoints` is
+    /// Starts a driver with the endpoint list of an earlier process. `polls_endpoints` is
     /// [`Settings::poll_endpoints`](balancer_core::Settings::poll_endpoints).
     pub fn start(
         balancer: Balancer,
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -18,7 +18,7 @@
 const LIST_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// The response of an upstream.
 const EMPTY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// A change counts as delivered 6 s after the watch failed; this leaves 0.1 s for the change itself.
+/// Somewhat less than the 6 s after which a change counts as delivered although the watch failed.
 const FOLLOWED_IN_TIME: Duration = Duration::from_millis(5900);
 
 fn post_request(target: &'static str) -> IncomingRequest {
@@ -123,8 +123,8 @@
     }
 }
 
-/// What a watch misses counts as delivered: that of a silent one 6 s later, even if the next call has no response, and
-/// that of a watch whose connection was reset at once.
+/// What a watch misses counts as delivered: 6 s later if the watch fell silent, even if the next call has no response,
+/// and at once if its connection was reset.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn a_watch_is_back_in_time() {
     let (_driver, discovery) = watching_driver().await;
@@ -193,7 +193,7 @@
 }
 
 /// Where attempts may not be cancelled, one that waits for a connection is not sent once its client has disconnected,
-/// while one that was sent is left alone.
+/// while one that was sent goes on.
 #[tokio::test(flavor = "local")]
 async fn a_request_whose_client_left_while_it_waited_is_not_sent() {
     let upstream = listen().await;
