--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -19,19 +19,19 @@
 
 /// Where discovery serves the endpoint list.
 pub(super) const LIST_PATH: &str = "/registry/instances";
-/// The longest endpoint list.
+/// A fetched list of more bytes is an error, and so is a list of a watch that is still incomplete after so many.
 pub(super) const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 /// How long the body of a fetched list may take.
 const FETCH_BODY_TIMEOUT: Duration = WATCH_SILENCE_TIMEOUT;
 
-/// How far the first response of discovery since the start has come.
+/// How far the first list that a watch brings since the start has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// Nothing has come.
+    /// No watch has had a response.
     Waiting,
-    /// Part of a response has come.
+    /// A watch has a response, but no complete list has come.
     Receiving,
-    /// An endpoint list, or changes of the one in use, has come.
+    /// An endpoint list, or changes of the one in use, have come. Final.
     Received,
 }
 
@@ -70,12 +70,12 @@
         &self.metrics
     }
 
-    /// How far the first response of discovery has come.
+    /// How far the first list that a watch brings has come.
     pub fn progress(&self) -> watch::Receiver<Progress> {
         self.progress.subscribe()
     }
 
-    /// Notifies those who wait for the first response that something has come.
+    /// Notifies those who wait for the first list that something has come.
     pub(super) fn advance(&self, to: Progress) {
         self.progress.send_if_modified(|progress| {
             if *progress == Progress::Received {
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -185,7 +185,7 @@
 
 /// The position of a name in the settings.
 fn position(names: &[String], name: Option<&str>) -> Option<usize> {
-    names.iter().position(|known| Some(known.as_str()) == name)
+    names.iter().position(|candidate| Some(candidate.as_str()) == name)
 }
 
 /// The upstream of an entry of which only the uid is readable.
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -108,7 +108,7 @@
         self.abort_all.send_replace(true);
     }
 
-    /// How far the first response of discovery has come.
+    /// How far the first list that a watch brings has come.
     pub fn discovery_progress(&self) -> watch::Receiver<Progress> {
         self.discovery.progress()
     }
