--- a/crates/proxy/src/downstream/handler.rs
+++ b/crates/proxy/src/downstream/handler.rs
@@ -86,7 +86,7 @@
         let request = self.read(socket, request, read_deadline).await?;
         client.request_received();
         let ValidRequest { incoming, correlation_id: _reserved } = request;
-        Ok(render_response(self.driver.submit(incoming).answer().await))
+        Ok(render_response(self.driver.submit(incoming).response().await))
     }
 
     /// Reads and validates a request, its body included.
--- a/crates/proxy/src/downstream/listener/tests.rs
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -48,7 +48,7 @@
         let discovery = Discovery::new(address, &site, Rc::default());
         let known = match self.upstreams {
             [] => WatchEvent::failed(),
-            upstreams => discovery.known(&endpoint_list(upstreams)),
+            upstreams => discovery.read_cached(&endpoint_list(upstreams)),
         };
         let balancer = Balancer::new(site.settings.clone(), BALANCER_SEED).unwrap();
         let upstreams = Upstreams::new(&site.settings, MAX_UPSTREAM_CONNECTIONS, 0, Rc::default());
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -219,7 +219,7 @@
             tenant: head.tenant,
             deadline,
             expected_work_ms: head.expected_work_ms,
-            repeat: head.is_client_retry,
+            is_client_retry: head.is_client_retry,
             outgoing: OutgoingRequest { method: head.method, target, headers, body },
         };
         Ok(ValidRequest { incoming, correlation_id })
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -101,7 +101,7 @@
         Rc::clone(metrics),
     );
     let discovery = Discovery::new(config.discovery, &config.site, Rc::clone(metrics));
-    let known = discovery.known(&config.known_endpoints);
+    let known = discovery.read_cached(&config.known_endpoints);
     tracing::info!(
         upstreams = known.entries.len(),
         version = discovery.version(),
@@ -137,7 +137,7 @@
     let first_list = async {
         loop {
             match timeout(FIRST_LIST_SILENCE_TIMEOUT, progress.changed()).await {
-                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Told => return true,
+                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Received => return true,
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return false,
             }
