--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -40,9 +40,9 @@
 pub enum UpdateScope {
     /// Only the entries that changed.
     Delta,
-    /// The whole list: an upstream that it does not name has been removed.
+    /// The complete list: an upstream that it does not name has been removed.
     Snapshot,
-    /// The whole list as this balancer last knew it, possibly out of date.
+    /// The complete list as this balancer last knew it, possibly out of date.
     Cached,
     /// A call failed or the watch broke. The known list stays valid.
     Failed,
--- a/crates/core/src/requests/arrival.rs
+++ b/crates/core/src/requests/arrival.rs
@@ -10,7 +10,7 @@
 /// Share of the latency objective after which a response is of no use where late ones earn nothing: the rest
 /// is for the way back to the client.
 const USEFUL_SHARE_OF_OBJECTIVE: f64 = 0.98;
-/// Least share of the longest Retry-After that is told to a client.
+/// Least share of the longest Retry-After that a rejected client gets.
 const MIN_RETRY_AFTER_SHARE: f64 = 0.5;
 
 impl Balancer {
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -15,6 +15,22 @@
 /// The shortest time to the next check, in seconds.
 const MIN_CHECK_SECONDS: f64 = 1e-6;
 
+/// An attempt that was found to be overdue.
+struct OverdueAttempt {
+    class: usize,
+    /// How many attempts its request has.
+    attempt_count: usize,
+    /// It was not overdue before.
+    newly_overdue: bool,
+    /// Its upstream has several overdue attempts and has not responded since this one was sent.
+    upstream_is_silent: bool,
+    /// When it has taken so long that it may be given up for a retry.
+    long_overdue_at: Timestamp,
+    /// When its response is no longer of use.
+    useful_until: Timestamp,
+    deadline: Timestamp,
+}
+
 impl Balancer {
     /// Handles all attempts whose overdue check has fallen due.
     pub(crate) fn handle_overdue_attempts(&mut self) {
@@ -23,55 +39,72 @@
         }
     }
 
-    /// An attempt takes longer than is typical. Its upstream counts as loaded, and a hedged request may be
-    /// sent. The attempt is checked again when a retry would still be in time, and when its response is no
-    /// longer of use.
+    /// An attempt takes longer than is typical: it may be cancelled or hedged. It is checked again when a
+    /// retry would still be in time, and when its response is no longer of use.
     fn handle_overdue_attempt(&mut self, check: OverdueCheck) {
-        let Some(request) = self.requests.requests.get_mut(&check.request) else { return };
-        let class_index = request.class;
+        let Some(attempt) = self.mark_overdue(check) else { return };
+        if self.should_cancel(&attempt) {
+            self.actions.push(Action::CancelAttempt { id: check.request, attempt: check.attempt });
+        } else {
+            self.schedule_next_check(check, &attempt);
+        }
+        if attempt.newly_overdue {
+            self.hedge(check.request);
+        }
+    }
+
+    /// Marks an attempt as overdue, so that its upstream counts as loaded. Returns `None` if it has ended.
+    fn mark_overdue(&mut self, check: OverdueCheck) -> Option<OverdueAttempt> {
+        let request = self.requests.requests.get_mut(&check.request)?;
+        let class = request.class;
         let attempt_count = request.attempts.len();
         let useful_until = request.useful_until;
         let deadline = request.deadline;
-        let Some(attempt) = request.attempt_in_flight(check.attempt) else { return };
-        let was_overdue = std::mem::replace(&mut attempt.overdue, true);
-        let sent_at = attempt.sent_at;
+        let attempt = request.attempt_in_flight(check.attempt)?;
+        let newly_overdue = !std::mem::replace(&mut attempt.overdue, true);
         let mut upstream_is_silent = true;
         if let Some(upstream) = self.upstreams.get_mut(attempt.upstream) {
-            upstream.overdue_attempts += u32::from(!was_overdue);
-            upstream_is_silent = upstream.outlier.last_response_at() <= sent_at
+            upstream.overdue_attempts += u32::from(newly_overdue);
+            upstream_is_silent = upstream.outlier.last_response_at() <= attempt.sent_at
                 && upstream.overdue_attempts >= SILENT_OVERDUE_ATTEMPTS;
         }
-        let class = &self.settings.classes[class_index];
-        let long_overdue_at = sent_at + self.latency.class(class_index).long_overdue_after(class);
-        let may_retry_instead =
-            self.may_retry_instead(class_index, attempt_count) && self.now >= long_overdue_at;
-        // An attempt is cancelled only at a silent upstream: at any other its work would be done for nobody,
-        // or twice. A single attempt without a response is no sign of silence, as each balancer gets few
-        // responses of one upstream.
-        if self.settings.cancellation && upstream_is_silent && (may_retry_instead || self.now >= useful_until)
-        {
-            self.actions.push(Action::CancelAttempt { id: check.request, attempt: check.attempt });
-        } else {
-            self.schedule_next_check(check, [long_overdue_at, useful_until], deadline);
-        }
-        if !was_overdue {
-            self.hedge(check.request);
-        }
+        let long_overdue_after = self.latency.class(class).long_overdue_after(&self.settings.classes[class]);
+        Some(OverdueAttempt {
+            class,
+            attempt_count,
+            newly_overdue,
+            upstream_is_silent,
+            long_overdue_at: attempt.sent_at + long_overdue_after,
+            useful_until,
+            deadline,
+        })
+    }
+
+    /// Whether an attempt is cancelled: only at a silent upstream, because any other would do its work for
+    /// nobody, or twice. A single attempt without a response is no sign of silence, as each balancer gets few
+    /// responses of one upstream.
+    fn should_cancel(&self, attempt: &OverdueAttempt) -> bool {
+        let is_useless = self.now >= attempt.useful_until;
+        self.settings.cancellation
+            && attempt.upstream_is_silent
+            && (is_useless || self.may_retry_instead(attempt))
     }
 
     /// Whether an attempt may be given up for a retry, where hedged requests are not allowed.
-    fn may_retry_instead(&self, class: usize, attempt_count: usize) -> bool {
-        let class = &self.settings.classes[class];
+    fn may_retry_instead(&self, attempt: &OverdueAttempt) -> bool {
+        let class = &self.settings.classes[attempt.class];
         class.retry_safety != RetrySafety::AtMostOnce
             && !class.streamed
-            && attempt_count < usize::from(self.settings.max_attempts)
+            && attempt.attempt_count < usize::from(self.settings.max_attempts)
+            && self.now >= attempt.long_overdue_at
             && !self.settings.hedging
             && self.retry_budget.covers(RETRY_COST)
     }
 
-    /// Checks an attempt again at the first of these times that lies ahead, if it is before the deadline.
-    fn schedule_next_check(&mut self, check: OverdueCheck, times: [Timestamp; 2], deadline: Timestamp) {
-        let next = times.into_iter().find(|time| *time > self.now && *time < deadline);
+    /// Checks an attempt again at the first of its times that lies ahead, if it is before the deadline.
+    fn schedule_next_check(&mut self, check: OverdueCheck, attempt: &OverdueAttempt) {
+        let times = [attempt.long_overdue_at, attempt.useful_until];
+        let next = times.into_iter().find(|time| *time > self.now && *time < attempt.deadline);
         if let Some(next) = next {
             let wait = Duration::from_secs_f64((next - self.now).max(MIN_CHECK_SECONDS));
             self.requests.overdue_checks.insert(OverdueCheck { due: self.elapsed + wait, ..check });
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -9,7 +9,7 @@
 pub(crate) struct Timestamp(f64);
 
 impl Timestamp {
-    /// The start of the clock. State that has never been set holds it.
+    /// The start of the clock, which is also the value of times that have never been set.
     pub(crate) const ZERO: Self = Self(0.0);
     /// Before every other point.
     pub(crate) const DISTANT_PAST: Self = Self(f64::NEG_INFINITY);
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -71,8 +71,8 @@
         self.capacity_scale = scale.clamp(1.0 / max_scale, max_scale);
     }
 
-    /// The share of its full capacity that the upstream is stated to have now. Ends slow start once it is
-    /// whole.
+    /// The share of its full capacity that the upstream is stated to have now. Ends slow start once it has
+    /// all of it.
     pub(crate) fn update_progress(&mut self, now: Timestamp, settings: &Settings) -> f64 {
         let floor = settings.slow_start_floor.min(1.0);
         let duration = settings.slow_start_duration.as_secs_f64().max(1e-6);
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -44,7 +44,7 @@
         let index = settings.index as usize;
         Self {
             size,
-            // A subset of four fifths would not be worth its cost.
+            // A subset of four fifths or more would reduce the choice and save little.
             takes_all: size * 5 >= ready_count * 4,
             round: (index / parts) as u64,
             offset: index % parts * size,
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -113,8 +113,12 @@
                     Some(result) = calls.next() => match result {
                         Ok(Ok(response)) => return Ok(response),
                         Ok(Err(e)) if calls.is_empty() => return Err(e),
-                        Ok(Err(e)) => self.log.warn(|| format!("overlapping discovery call failed: {e}")),
-                        Err(_) => self.log.warn(|| "overlapping discovery call given up: timeout".to_owned()),
+                        Ok(Err(e)) => self.log.warn(|skipped| {
+                            tracing::warn!(skipped, error = %e, "overlapping discovery call failed");
+                        }),
+                        Err(_) => self.log.warn(|skipped| {
+                            tracing::warn!(skipped, "overlapping discovery call given up");
+                        }),
                     },
                     () = &mut next_call => break,
                 }
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -111,7 +111,7 @@
         if !text.is_empty() {
             match self.read(text.as_bytes()) {
                 Ok(update) => entries = update.entries,
-                Err(e) => tracing::warn!("cached endpoint list is unreadable: {e}"),
+                Err(e) => tracing::warn!(error = %e, "cached endpoint list is unreadable"),
             }
         }
         WatchEvent { scope: UpdateScope::Cached, entries }
@@ -138,7 +138,7 @@
     /// Fetches the whole endpoint list. A failure is logged and returned as an update of [`UpdateScope::Failed`].
     pub async fn fetch(&self) -> WatchEvent {
         self.try_fetch().await.unwrap_or_else(|e| {
-            self.log.warn(|| format!("endpoint list not fetched: {e}"));
+            self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "endpoint list not fetched"));
             WatchEvent::failed()
         })
     }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -140,7 +140,7 @@
         match self.read_entry(text) {
             Ok(endpoint) => Some(endpoint),
             Err(e) => {
-                self.log.warn(|| format!("unreadable list entry: {e}"));
+                self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "unreadable list entry"));
                 draining_endpoint(text)
             }
         }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -22,7 +22,9 @@
         self.metrics.discovery_failures.inc();
         match result {
             Ok(()) => tracing::info!(version = self.version(), "watch ended by discovery"),
-            Err(e) => self.log.warn(|| format!("watch ended at version {}: {e}", self.version())),
+            Err(e) => self.log.warn(|skipped| {
+                tracing::warn!(skipped, version = self.version(), error = %e, "watch ended with an error");
+            }),
         }
     }
 
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -68,7 +68,7 @@
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    self.log.warn(|| format!("accept: {error}"));
+                    self.log.warn(|skipped| tracing::warn!(skipped, %error, "accept failed"));
                     sleep(ACCEPT_ERROR_BACKOFF).await;
                     continue;
                 }
--- a/crates/proxy/src/rate_limited_log.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -15,15 +15,15 @@
 }
 
 impl RateLimitedLog {
-    /// Logs a warning with the number of those suppressed before it, or suppresses it. `message` is called only for a
-    /// warning that is logged.
-    pub fn warn(&self, message: impl FnOnce() -> String) {
+    /// Calls `log`, which writes the warning, with the number of warnings suppressed before it; or suppresses the
+    /// warning.
+    pub fn warn(&self, log: impl FnOnce(u64)) {
         let now = Instant::now();
         if self.last_logged_at.get().is_some_and(|last| now - last < WARNING_INTERVAL) {
             self.skipped.set(self.skipped.get() + 1);
             return;
         }
         self.last_logged_at.set(Some(now));
-        tracing::warn!(skipped = self.skipped.replace(0), "{}", message());
+        log(self.skipped.replace(0));
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -144,6 +144,6 @@
         }
     };
     if timeout(FIRST_LIST_TIMEOUT, first_list).await != Ok(true) {
-        tracing::warn!("no endpoint list from discovery in time: serving the last known one");
+        tracing::warn!("no endpoint list from discovery in time, serving the last known one");
     }
 }
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -49,9 +49,9 @@
     pub fn read(&self, report: &[u8]) -> Vec<f32> {
         let values = std::str::from_utf8(report).ok().and_then(|text| parse(text, &self.fields));
         values.unwrap_or_else(|| {
-            self.unreadable_log.warn(|| {
+            self.unreadable_log.warn(|skipped| {
                 let shown = &report[..report.len().min(MAX_LOGGED_BYTES)];
-                format!("unreadable load report {:?}", String::from_utf8_lossy(shown))
+                tracing::warn!(skipped, report = ?String::from_utf8_lossy(shown), "unreadable load report");
             });
             Vec::new()
         })
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -78,7 +78,9 @@
     pub async fn acquire_slot(&self, upstream: UpstreamId) -> Option<Slot> {
         if self.slots.available_permits() == 0 && !self.close_oldest() {
             let max_connections = self.max_connections;
-            self.exhausted_log.warn(|| format!("all {max_connections} connections to upstreams are in use"));
+            self.exhausted_log.warn(|skipped| {
+                tracing::warn!(skipped, max_connections, "all upstream connections are in use")
+            });
         }
         let mut slot = pin!(Arc::clone(&self.slots).acquire_owned());
         loop {
