--- /dev/null
+++ b/crates/core/tests/endpoint_updates.rs
@@ -0,0 +1,89 @@
+//! Updates of the endpoint list, and the polls for it.
+
+mod common;
+use balancer_core::*;
+use common::*;
+
+fn settings() -> SettingsBuilder {
+    SettingsBuilder::new(RetrySafety::Idempotent)
+}
+
+#[test]
+fn a_draining_or_removed_upstream_gets_no_new_requests() {
+    let draining = EndpointBuilder::new(1).availability(Availability::Draining).build();
+    let removed = UpstreamId(2);
+    let remaining = UpstreamId(3);
+    let mut harness = BalancerHarness::new(settings().build(), &endpoints(3));
+    harness.play_requests(20, ms(5), |_| Some(Outcome::Ok));
+    let attempts_before = [harness.attempts_sent_to(draining.id), harness.attempts_sent_to(removed)];
+
+    harness.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&draining));
+    // A snapshot without upstream 2, and with upstream 1 as ready once more.
+    harness.update_endpoints(UpdateScope::Snapshot, &[endpoint(1), endpoint(remaining.0)]);
+    harness.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&draining));
+    harness.play_requests(60, ms(30), |_| Some(Outcome::Ok));
+
+    let attempts = [harness.attempts_sent_to(draining.id), harness.attempts_sent_to(removed)];
+    assert_eq!(attempts_before, attempts);
+    assert!(harness.attempts_sent_to(remaining) > 20);
+}
+
+#[test]
+fn requests_are_rejected_without_upstreams_and_served_once_one_is_listed() {
+    let settings = SettingsBuilder::new(RetrySafety::AtMostOnce).build();
+    let mut harness = BalancerHarness::new(settings, &[]);
+    let id = harness.send_request(0, 0, ms(1000));
+    assert_eq!(harness.response(id), Some(FinalResponse::Rejected));
+
+    harness.update_endpoints(UpdateScope::Snapshot, &endpoints(1));
+    harness.advance(ms(3000));
+    harness.play_requests(100, ms(100), |_| Some(Outcome::Ok));
+
+    assert!(harness.attempts_sent_to(UpstreamId(1)) > 0);
+}
+
+/// A discovery service that is down must not be flooded with polls, and the endpoints are most likely still
+/// there.
+#[test]
+fn failed_polls_are_repeated_with_backoff_and_the_known_endpoint_list_stays_in_use() {
+    let mut harness = BalancerHarness::new(settings().poll_endpoints(true).build(), &endpoints(2));
+
+    for _ in 0..6000 {
+        let polls = harness.endpoint_polls.len();
+        harness.advance(ms(10));
+        if harness.endpoint_polls.len() > polls {
+            harness.update_endpoints(UpdateScope::Failed, &[]);
+        }
+    }
+
+    let polls = harness.endpoint_polls.len();
+    assert!((5..=30).contains(&polls), "{polls} polls in a minute");
+    let id = harness.send_request(0, 0, ms(1000));
+    assert!(harness.is_forwarded(id));
+}
+
+/// A change counts as notified 6 s after discovery had it and could be reached. However many polls failed
+/// before, and however long the poll interval is, a poll that fails late, the backoff after it and the next
+/// poll take less together.
+#[test]
+fn polls_are_never_so_far_apart_that_a_change_is_missed_after_discovery_has_recovered() {
+    for poll_interval_ms in [2_000, 10_000, 60_000] {
+        let poll_interval = ms(poll_interval_ms);
+        let settings = settings().poll_endpoints(true).poll_interval(poll_interval).build();
+        let mut harness = BalancerHarness::new(settings, &endpoints(2));
+
+        let mut last_poll_at = harness.now;
+        for poll in 0..40 {
+            while harness.endpoint_polls.len() == poll {
+                harness.advance(ms(10));
+                let elapsed = harness.now - last_poll_at;
+                assert!(elapsed < ms(5_700), "poll {poll} with interval {poll_interval:?}: {elapsed:?}");
+            }
+            last_poll_at = harness.now;
+            // Every other poll fails at once, the others when nothing follows the header of the response.
+            let fails_after = ms(if poll % 2 == 0 { 2_500 } else { 1 });
+            harness.advance(fails_after);
+            harness.update_endpoints(UpdateScope::Failed, &[]);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/tests/invalid_input.rs
@@ -0,0 +1,110 @@
+//! Input that is out of range, malformed or unknown: it is rejected or ignored, and never causes a panic.
+
+mod common;
+use balancer_core::*;
+use common::*;
+
+fn settings() -> SettingsBuilder {
+    SettingsBuilder::new(RetrySafety::Idempotent)
+}
+
+#[test]
+fn a_request_of_an_unknown_class_fails_and_one_of_an_unknown_tenant_is_forwarded() {
+    const UNKNOWN_CLASS: u16 = 9;
+    const UNKNOWN_TENANT: u32 = 77;
+    let mut harness = BalancerHarness::new(settings().quotas(&[20.0]).build(), &endpoints(2));
+
+    let id = harness.send_request(UNKNOWN_CLASS, 0, ms(1000));
+    assert_eq!(harness.response(id), Some(FinalResponse::Failed));
+
+    let id = harness.send_request(0, UNKNOWN_TENANT, ms(1000));
+    assert!(harness.is_forwarded(id));
+}
+
+/// An operator has to learn which value is wrong.
+#[test]
+fn settings_out_of_range_are_rejected_and_the_error_names_the_value() {
+    let valid = || settings().quotas(&[1.0]).build();
+    let error_of = |settings: Settings| Balancer::new(settings, 1).err();
+
+    assert_eq!(error_of(valid()).map(|error| error.to_string()), None);
+    assert_eq!(error_of(Settings::default()), Some(SettingsError::NoClasses));
+    assert_eq!(error_of(Settings { balancers: 0, ..valid() }), Some(SettingsError::NoBalancers));
+    let zero_objective = request_class(0, 5, RetrySafety::Idempotent);
+    for (invalid, name) in [
+        (Settings { max_attempts: 0, ..valid() }, "max_attempts"),
+        (Settings { slow_start_floor: f64::NAN, ..valid() }, "slow_start_floor"),
+        (Settings { overload_factor: f64::INFINITY, ..valid() }, "overload_factor"),
+        (Settings { over_quota_weight: -1.0, ..valid() }, "over_quota_weight"),
+        (settings().quotas(&[f64::NAN]).build(), "quota_per_second"),
+        (settings().quotas(&[1.0]).classes(vec![zero_objective]).build(), "class latency_objective"),
+    ] {
+        let error = error_of(invalid).expect(name).to_string();
+        assert!(error.contains(name), "{error} names {name}");
+    }
+}
+
+/// A default balancer has no request classes, so that it can forward nothing.
+#[test]
+fn a_default_balancer_fails_requests_and_does_not_panic() {
+    let mut harness = BalancerHarness::new(settings().quotas(&[20.0]).build(), &endpoints(1));
+    harness.balancer = Balancer::default();
+    harness.advance(ms(200));
+
+    let id = harness.send_request(0, 0, ms(1000));
+
+    assert_eq!(harness.response(id), Some(FinalResponse::Failed));
+}
+
+/// Values that are not finite or far out of range must not spoil what is known of the upstreams.
+#[test]
+fn malformed_load_reports_and_weights_are_ignored() {
+    let settings =
+        settings().load_reports(LoadReporting::Inline, &[LoadField::Utilization, LoadField::Queue]).build();
+    let mut harness = BalancerHarness::new(settings, &endpoints(2));
+    for value in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
+        harness.report_load(UpstreamId(1), &[value, value]);
+    }
+    let malformed = [
+        EndpointBuilder::new(1).weight(f64::NAN).build(),
+        EndpointBuilder::new(2).weight(f64::INFINITY).build(),
+    ];
+    harness.update_endpoints(UpdateScope::Snapshot, &malformed);
+    harness.advance(ms(10_000));
+
+    harness.play_requests(200, ms(30), |_| Some(Outcome::Ok));
+
+    let served = harness.response_count(FinalResponse::Served);
+    assert!(served > 180, "{served} of 200 served");
+    assert!(harness.attempts_sent_to(UpstreamId(1)) > 20 && harness.attempts_sent_to(UpstreamId(2)) > 20);
+}
+
+/// An embedder may still have events for requests, upstreams and timers that the balancer has forgotten.
+#[test]
+fn events_with_unknown_ids_cause_no_action() {
+    let mut harness = BalancerHarness::new(settings().build(), &endpoints(2));
+    let id = RequestId(99);
+    let attempt = AttemptIndex(3);
+    let upstream = UpstreamId(42);
+    let latency = ms(1);
+    let outcome = Outcome::Ok;
+    for event in [
+        Event::AttemptEnded {
+            id,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_finished: false,
+            load_report: &[],
+        },
+        Event::HealthCheckEnded { upstream, outcome, latency, load_report: &[] },
+        Event::StreamStarted { id, attempt, latency },
+        Event::ClientDisconnected { id },
+        Event::TimerFired { timer: TimerId(12345) },
+    ] {
+        harness.deliver(event);
+
+        assert!(harness.last_actions.is_empty(), "{:?}", harness.last_actions);
+    }
+}
--- /dev/null
+++ b/crates/core/tests/slow_start/main.rs
@@ -0,0 +1,226 @@
+//! Slow start: an upstream that has just started gets few requests at first. Many balancers together must not
+//! exceed what the settings allow, and the upstream must still get enough requests to warm up.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod fleet;
+mod utilization;
+mod windows;
+
+use balancer_core::*;
+use common::*;
+use fleet::{Disturbance, Fleet, NEW_UPSTREAM, NewUpstreamReports, Scenario};
+use std::time::Duration;
+use windows::WindowCounts;
+
+/// Each balancer's share of the budget is less than one request. The sum over all balancers must stay within
+/// the budget in every window: with many of them, while they restart, after a pause in which all have saved
+/// turns, and when attempts fail and are sent again.
+#[test]
+fn an_upstream_in_slow_start_is_not_overloaded_by_all_balancers_together() {
+    for (balancers, requests_per_second) in [(20, 14.0), (30, 14.0), (350, 2.0)] {
+        for disturbance in [
+            Disturbance::Restarts,
+            Disturbance::RestartsWithSlowUpstreams,
+            Disturbance::Pause,
+            Disturbance::Failures,
+        ] {
+            for reports in [NewUpstreamReports::None, NewUpstreamReports::CapacityMultiple(1.0)] {
+                let scenario = Scenario { balancers, requests_per_second, disturbance, reports };
+
+                let sent = Fleet::requests_to_new_upstream(scenario);
+
+                assert!(sent.len() > 20, "{scenario:?}: it warms up by requests, got {}", sent.len());
+                assert_within_budget(scenario, &sent);
+            }
+        }
+    }
+}
+
+/// Checks that every window has at most the requests that the settings allow, and what chance adds to them.
+fn assert_within_budget(scenario: Scenario, sent: &[Duration]) {
+    let settings = scenario.settings(0);
+    for window in WindowCounts::new(sent, settings.overload_duration) {
+        let capacity =
+            scenario.warm_capacity() * fleet::configured_capacity_share(&settings, window.begins_at);
+        let budget = settings.overload_factor * capacity * settings.overload_duration.as_secs_f64();
+        let limit = budget + 2.0 * budget.sqrt() + 2.0;
+        let requests = window.requests;
+        assert!(
+            requests <= limit,
+            "{scenario:?}: {requests} of {limit:.0} in the window from {:?}",
+            window.begins_at
+        );
+    }
+}
+
+/// The settings state the least capacity in slow start. An upstream that reports more spare capacity gets
+/// more requests, so that it isn't idle while others are overloaded.
+#[test]
+fn an_upstream_in_slow_start_that_reports_spare_capacity_gets_more_requests() {
+    for (balancers, requests_per_second) in [(20, 14.0), (100, 10.0)] {
+        let requests = |reports| {
+            let disturbance = Disturbance::None;
+            let scenario = Scenario { balancers, requests_per_second, disturbance, reports };
+            Fleet::requests_to_new_upstream(scenario).len() as f64
+        };
+
+        let without_reports = requests(NewUpstreamReports::None);
+        let with_stated_capacity = requests(NewUpstreamReports::CapacityMultiple(1.0));
+        let with_twice_the_capacity = requests(NewUpstreamReports::CapacityMultiple(2.0));
+
+        assert!(
+            with_twice_the_capacity > 1.3 * without_reports,
+            "{balancers} balancers: {with_twice_the_capacity} against {without_reports}"
+        );
+        assert!(
+            with_twice_the_capacity > with_stated_capacity,
+            "{balancers} balancers: {with_twice_the_capacity} against {with_stated_capacity}"
+        );
+    }
+}
+
+/// A balancer that has seen few responses admits little, so upstreams in slow start would get few turns and
+/// few responses would follow. The quotas stand for the load that is not seen.
+#[test]
+fn upstreams_in_slow_start_get_requests_again_after_no_attempt_was_served_for_long() {
+    let settings = SettingsBuilder::new(RetrySafety::AtMostOnce)
+        .slow_start(0.2, ms(60_000))
+        .quotas(&[20.0])
+        .load_reports(LoadReporting::Inline, &[LoadField::Utilization])
+        .build();
+    let mut harness = BalancerHarness::new(settings, &endpoints(8));
+    let started_at = harness.now;
+    let restarted: Vec<_> =
+        (1..=8).map(|id| EndpointBuilder::new(id).started_at(started_at).build()).collect();
+    harness.update_endpoints(UpdateScope::Delta, &restarted);
+    for _ in 0..40 {
+        let id = harness.send_request(0, 0, ms(450));
+        harness.advance(ms(450));
+        if let Some(upstream) = harness.upstream_of(id, 0) {
+            harness.end_attempt(id, 0, Outcome::TimedOut);
+            harness.report_load(upstream, &[0.5]);
+        }
+    }
+    let forwarded_before = harness.forwarded_requests();
+
+    // A third of the quota: the upstreams have half of their capacity by now and can serve that.
+    harness.play_requests(40, ms(150), |_| Some(Outcome::Ok));
+
+    let forwarded = harness.forwarded_requests() - forwarded_before;
+    assert!(forwarded >= 36, "{forwarded} of 40 forwarded once the upstreams respond");
+}
+
+/// Requests that a client waits for: the fleet gets this many per second.
+const REQUESTS_PER_SECOND: u64 = 700;
+/// How long every attempt takes.
+const LATENCY: Duration = Duration::from_millis(20);
+/// How long a request is followed.
+const FOLLOWED_FOR: Duration = Duration::from_millis(100);
+/// Capacity of a warm upstream in requests per second.
+const WARM_CAPACITY: f64 = 100.0;
+const NEW_UPSTREAM_AT: Duration = Duration::from_secs(3);
+
+struct FollowedRequest {
+    balancer: usize,
+    id: RequestId,
+    ended_attempts: usize,
+    sent_at: Duration,
+}
+
+/// Ends the attempts of a request that have had their latency. Returns whether the request has to be followed
+/// further, and adds the attempts at the new upstream to `sent_to_new`.
+fn follow_request(
+    request: &mut FollowedRequest,
+    harness: &mut BalancerHarness,
+    now: Duration,
+    sent_to_new: &mut Vec<Duration>,
+) -> bool {
+    while request.ended_attempts < harness.attempt_count(request.id) {
+        let attempt = harness.attempts[&request.id][request.ended_attempts];
+        if now < attempt.sent_at + LATENCY {
+            return true;
+        }
+        if attempt.upstream == NEW_UPSTREAM {
+            sent_to_new.push(attempt.sent_at);
+        }
+        harness.end_attempt(request.id, request.ended_attempts, Outcome::Ok);
+        request.ended_attempts += 1;
+    }
+    now < request.sent_at + FOLLOWED_FOR && harness.response(request.id).is_none()
+}
+
+/// Answers the health checks: the new upstream has no requests in flight, the others have two.
+fn end_health_checks(harness: &mut BalancerHarness) {
+    for upstream in harness.take_health_checks() {
+        let in_flight = if upstream == NEW_UPSTREAM { 0.0 } else { 2.0 };
+        harness.report_load(upstream, &[in_flight]);
+    }
+}
+
+/// Plays ten warm upstreams at 70 % of their capacity and a new one. Returns when attempts were sent to the
+/// new one.
+fn attempts_at_idle_new_upstream(settings_of: impl Fn(u32) -> Settings, balancers: u32) -> Vec<Duration> {
+    let start =
+        |index| BalancerHarness::starting_at(ms(0), settings_of(index), u64::from(index), &endpoints(10));
+    let mut harnesses: Vec<_> = (0..balancers).map(start).collect();
+    let mut sent_to_new = Vec::new();
+    let mut followed: Vec<FollowedRequest> = Vec::new();
+    for step in 0..(12_000 * REQUESTS_PER_SECOND / 1000) {
+        let now = Duration::from_micros(step * 1_000_000 / REQUESTS_PER_SECOND);
+        for harness in &mut harnesses {
+            harness.advance_to(now);
+            if now == NEW_UPSTREAM_AT {
+                let new = EndpointBuilder::new(NEW_UPSTREAM.0).started_at(now).build();
+                harness.update_endpoints(UpdateScope::Delta, &[new]);
+            }
+            end_health_checks(harness);
+        }
+        let balancer = (step as usize * 7919) % harnesses.len();
+        let id = harnesses[balancer].send_request(0, 0, ms(600));
+        followed.push(FollowedRequest { balancer, id, ended_attempts: 0, sent_at: now });
+        followed.retain_mut(|request| {
+            let harness = &mut harnesses[request.balancer];
+            follow_request(request, harness, now, &mut sent_to_new)
+        });
+    }
+    sent_to_new.sort();
+    sent_to_new
+}
+
+/// A new upstream is idle while the others are loaded, so every balancer prefers it. All of them together
+/// must still not send it more than the configured multiple of its capacity in any window.
+#[test]
+fn an_idle_new_upstream_is_not_overloaded_by_all_balancers_together() {
+    const OVERLOAD_FACTOR: f64 = 3.0;
+    const OVERLOAD_SECONDS: f64 = 2.0;
+    const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
+    for (traffic, balancers) in [(Traffic::Dense, 20), (Traffic::Sparse, 400)] {
+        let settings_of = |index| {
+            settings_of_all_classes(traffic)
+                .balancers(balancers)
+                .index(index)
+                .max_attempts(4)
+                .poll_endpoints(false)
+                .slow_start(0.1, ms(20_000))
+                .overload(OVERLOAD_FACTOR, OVERLOAD_DURATION)
+                .quotas(&[700.0])
+                .build()
+        };
+
+        let sent = attempts_at_idle_new_upstream(settings_of, balancers);
+
+        assert!(sent.len() > 10, "the new upstream warms up by requests, got {}", sent.len());
+        for window in WindowCounts::new(&sent, OVERLOAD_DURATION) {
+            let age = window.begins_at.saturating_sub(NEW_UPSTREAM_AT).as_secs_f64();
+            let capacity = WARM_CAPACITY * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
+            let budget = OVERLOAD_FACTOR * capacity * OVERLOAD_SECONDS;
+            let requests = window.requests;
+            assert!(
+                requests <= budget,
+                "{requests} in two seconds from {:?}, a budget of {budget}",
+                window.begins_at
+            );
+        }
+    }
+}
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -1,4 +1,5 @@
-//! Thin traffic keeps to a subset; together the balancers load every upstream alike.
+//! Subsetting: a balancer with few requests uses a subset of the upstreams; all balancers together load each
+//! alike.
 
 mod common;
 use balancer_core::*;
@@ -7,69 +8,86 @@
 
 const BALANCERS: u32 = 240;
 
-fn settings(index: u32) -> Settings {
-    Settings {
-        balancers: BALANCERS,
-        index,
-        classes: vec![class(400, 1000, RetrySafety::Idempotent)],
-        tenants: vec![Tenant { quota_per_second: 480.0 }],
-        ..Settings::default()
-    }
+/// Settings of one of many balancers that get two requests per second each.
+fn settings(index: u32) -> SettingsBuilder {
+    SettingsBuilder::new(RetrySafety::Idempotent).balancers(BALANCERS).index(index).quotas(&[480.0])
+}
+
+/// Endpoints whose ids are far apart.
+fn spread_endpoints() -> Vec<EndpointEntry> {
+    (1..=48).map(|id| endpoint(id * 7919)).collect()
 }
 
-fn used(bench: &mut Bench, requests: usize) -> BTreeSet<UpstreamId> {
-    bench.sent.clear();
-    bench.traffic(requests, ms(500), |_| Some(Outcome::Ok));
-    bench.sent.values().flatten().map(|s| s.1).collect()
+fn removed(id: UpstreamId) -> EndpointEntry {
+    EndpointBuilder::new(id.0).availability(Availability::Removed).build()
 }
 
-/// Guards against upstreams that run out of connections: 240 balancers, two requests a second each.
+/// The upstreams that the next requests are sent to.
+fn used_upstreams(harness: &mut BalancerHarness, requests: usize) -> BTreeSet<UpstreamId> {
+    harness.attempts.clear();
+    harness.play_requests(requests, ms(500), |_| Some(Outcome::Ok));
+    harness.attempts.values().flatten().map(|attempt| attempt.upstream).collect()
+}
+
+/// Each balancer that used all upstreams would hold a connection to each, until the upstreams run out of
+/// them.
 #[test]
-fn a_thin_balancer_uses_few_and_all_together_use_all_alike() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
-    let mut users: BTreeMap<UpstreamId, usize> = BTreeMap::new();
+fn a_balancer_with_few_requests_uses_a_subset_and_all_balancers_use_each_upstream_alike() {
+    let endpoints = spread_endpoints();
+    let mut balancers_by_upstream: BTreeMap<UpstreamId, usize> = BTreeMap::new();
+
     for index in 0..BALANCERS {
-        let own = used(&mut Bench::new(settings(index), &fleet), 60);
-        assert!((2..=10).contains(&own.len()), "{} upstreams used by one", own.len());
-        own.into_iter().for_each(|u| *users.entry(u).or_default() += 1);
+        let mut harness = BalancerHarness::new(settings(index).build(), &endpoints);
+        let subset = used_upstreams(&mut harness, 60);
+        assert!((2..=10).contains(&subset.len()), "balancer {index} uses {} upstreams", subset.len());
+        for upstream in subset {
+            *balancers_by_upstream.entry(upstream).or_default() += 1;
+        }
     }
-    let (least, most) = (users.values().min().unwrap(), users.values().max().unwrap());
-    assert_eq!(users.len(), fleet.len(), "every upstream is used");
+
+    let least = balancers_by_upstream.values().min().expect("some upstream is used");
+    let most = balancers_by_upstream.values().max().expect("some upstream is used");
+    assert_eq!(balancers_by_upstream.len(), endpoints.len(), "every upstream is used");
     assert!(*most * 2 <= *least * 3, "used by {least} to {most} balancers");
 }
 
 #[test]
-fn a_small_fleet_and_a_busy_balancer_use_all() {
-    let mut few = Bench::new(settings(5), &(1..=2).map(listed).collect::<Vec<_>>());
-    assert_eq!(used(&mut few, 100).len(), 2);
-    let busy = Settings { balancers: 4, ..settings(3) };
-    let mut busy = Bench::new(busy, &(1..=60).map(listed).collect::<Vec<_>>());
-    assert_eq!(used(&mut busy, 300).len(), 60);
+fn a_balancer_of_two_upstreams_and_one_with_many_requests_use_all_upstreams() {
+    let mut few_upstreams = BalancerHarness::new(settings(5).build(), &endpoints(2));
+    assert_eq!(used_upstreams(&mut few_upstreams, 100).len(), 2);
+
+    let many_requests = settings(3).balancers(4).build();
+    let mut many_requests = BalancerHarness::new(many_requests, &endpoints(60));
+    assert_eq!(used_upstreams(&mut many_requests, 300).len(), 60);
 }
 
-/// The subset outlives changes elsewhere; one lost is replaced, and those that left the list are forgotten.
+/// A subset that moved with every change of the list would cost connections and what is known of the
+/// upstreams.
 #[test]
-fn a_subset_is_stable_and_refilled() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
-    let mut bench = Bench::new(settings(17), &fleet);
-    let before = used(&mut bench, 60);
-    let gone = |id: UpstreamId| EndpointEntry { availability: Availability::Removed, ..listed(id.0) };
-    let (own, other): (Vec<_>, Vec<_>) = fleet.iter().map(|l| l.id).partition(|id| before.contains(id));
-    for id in other.iter().take(20) {
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[gone(*id)] });
-        bench.run(ms(50));
+fn a_subset_is_kept_when_other_upstreams_are_removed_and_refilled_when_its_own_are() {
+    let endpoints = spread_endpoints();
+    let mut harness = BalancerHarness::new(settings(17).build(), &endpoints);
+    let subset = used_upstreams(&mut harness, 60);
+    let ids = endpoints.iter().map(|entry| entry.id);
+    let (inside, outside): (Vec<_>, Vec<_>) = ids.partition(|id| subset.contains(id));
+
+    for id in outside.iter().take(20) {
+        harness.update_endpoints(UpdateScope::Delta, &[removed(*id)]);
+        harness.advance(ms(50));
     }
-    assert_eq!(used(&mut bench, 60), before, "what happens elsewhere moves nothing");
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[gone(own[0]), gone(own[1])] });
-    let after = used(&mut bench, 60);
-    assert_eq!(after.len(), before.len());
-    assert_eq!(after.intersection(&before).count(), before.len() - 2);
+    assert_eq!(used_upstreams(&mut harness, 60), subset, "a removal outside the subset changes nothing");
+
+    harness.update_endpoints(UpdateScope::Delta, &[removed(inside[0]), removed(inside[1])]);
+    let refilled = used_upstreams(&mut harness, 60);
+    assert_eq!(refilled.len(), subset.len());
+    assert_eq!(refilled.intersection(&subset).count(), subset.len() - 2);
 }
 
-/// Without stated allowances one balancer alone still takes all, whatever it sees.
+/// Without quotas nothing states the load, but a single balancer has no others that would use the rest.
 #[test]
-fn a_balancer_alone_uses_all() {
-    let alone = Settings { balancers: 1, index: 0, tenants: Vec::new(), ..settings(0) };
-    let mut alone = Bench::new(alone, &(1..=40).map(listed).collect::<Vec<_>>());
-    assert_eq!(used(&mut alone, 200).len(), 40);
+fn a_single_balancer_uses_all_upstreams() {
+    let single = settings(0).balancers(1).quotas(&[]).build();
+    let mut single = BalancerHarness::new(single, &endpoints(40));
+
+    assert_eq!(used_upstreams(&mut single, 200).len(), 40);
 }
