--- /dev/null
+++ b/crates/proxy/tests/common/config.rs
@@ -0,0 +1,132 @@
+//! The configuration of a proxy.
+
+use super::{EndpointState, ProxyProcess, endpoint, snapshot, unused_address, wait_until};
+use std::net::SocketAddr;
+
+/// Who begins the watch of the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscoveryMode {
+    /// The proxy does at its start.
+    Automatic,
+    /// The decisions ask for it.
+    Subscribe,
+}
+
+impl DiscoveryMode {
+    const fn wire_name(self) -> &'static str {
+        match self {
+            Self::Automatic => "automatic",
+            Self::Subscribe => "subscribe",
+        }
+    }
+}
+
+/// Builds the configuration of a proxy with three request classes: `look` is idempotent, `book` at-most-once,
+/// `keyed` deduplicated.
+#[derive(Clone)]
+pub struct ProxyConfig {
+    discovery: SocketAddr,
+    discovery_mode: DiscoveryMode,
+    cached_list: String,
+    sockets: usize,
+    deadline_ms: u64,
+    balancers: u32,
+}
+
+impl ProxyConfig {
+    /// Starts with these upstreams, named `s-0` and so on, in the cached endpoint list, and discovery that is
+    /// down.
+    pub fn new(upstreams: &[SocketAddr]) -> Self {
+        let ready = |(number, address): (usize, &SocketAddr)| {
+            endpoint(&format!("s-{number}"), *address, EndpointState::Ready)
+        };
+        let endpoints: Vec<_> = upstreams.iter().enumerate().map(ready).collect();
+        Self {
+            discovery: unused_address(),
+            discovery_mode: DiscoveryMode::Automatic,
+            cached_list: snapshot(1, &endpoints),
+            sockets: 256,
+            deadline_ms: 8000,
+            balancers: 1,
+        }
+    }
+
+    /// Sets the address of discovery.
+    pub fn discovery(mut self, address: SocketAddr) -> Self {
+        self.discovery = address;
+        self
+    }
+
+    /// Sets who begins the watch.
+    pub fn discovery_mode(mut self, mode: DiscoveryMode) -> Self {
+        self.discovery_mode = mode;
+        self
+    }
+
+    /// Replaces the cached endpoint list.
+    pub fn cached_list(mut self, list: String) -> Self {
+        self.cached_list = list;
+        self
+    }
+
+    /// Sets how many sockets the proxy may have.
+    pub fn sockets(mut self, sockets: usize) -> Self {
+        self.sockets = sockets;
+        self
+    }
+
+    /// Sets the latency objective and the deadline of all classes.
+    pub fn deadline_ms(mut self, deadline_ms: u64) -> Self {
+        self.deadline_ms = deadline_ms;
+        self
+    }
+
+    /// Sets how many balancers share the upstreams; this is the last of them.
+    pub fn balancers(mut self, balancers: u32) -> Self {
+        self.balancers = balancers;
+        self
+    }
+
+    /// The text of the configuration file.
+    pub fn text(&self) -> String {
+        let Self { discovery, discovery_mode, cached_list, sockets, balancers, .. } = self;
+        let index = balancers - 1;
+        let discovery_mode = discovery_mode.wire_name();
+        let classes = [
+            self.class("look", "idempotent"),
+            self.class("book", "at_most_once"),
+            self.class("keyed", "deduplicated"),
+        ]
+        .join(",");
+        format!(
+            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+            "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{cached_list},
+            "settings":{{"balancers":{balancers},"me":{index},"classes":[{classes}],"discovery":"{discovery_mode}",
+            "failure_domains":["a","b"],"skus":["m"],"locality":0,
+            "limits":{{"conn_idle_ms":60000,"connect_timeout_ms":2000,"try_limit":5,"retry_after":false}},
+            "parties":[{{"name":"acme","allowance_per_s":1000.0}}]}}}}"#
+        )
+    }
+
+    fn class(&self, name: &str, retry_safety: &str) -> String {
+        let deadline_ms = self.deadline_ms;
+        format!(
+            r#"{{"name":"{name}","aim_ms":{deadline_ms},"hard_limit_ms":{deadline_ms},"late_worth":0.5,"effect":"{retry_safety}","dedup_scope":"all","key_ttl_ms":5000}}"#
+        )
+    }
+
+    /// Starts a proxy and waits until it listens for clients.
+    pub fn start(&self) -> ProxyProcess {
+        let mut proxy = self.launch();
+        wait_until("the proxy listens", || {
+            assert!(proxy.is_running(), "the proxy has ended");
+            proxy.is_listening()
+        });
+        proxy
+    }
+
+    /// Starts a proxy.
+    pub fn launch(&self) -> ProxyProcess {
+        ProxyProcess::launch(&self.text(), self.sockets)
+    }
+}
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The balancer as a process beside its discovery, with lists of any length that come in any pieces.
+//! The watch of the endpoint list: when it begins, how it is replaced when it ends or falls silent, and what
+//! happens while discovery is slow or down.
 
 mod common;
 
@@ -7,160 +8,200 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Upstreams in a fleet of the largest size.
-const LARGE_FLEET: usize = 3200;
+/// A change counts as notified this long after discovery had it and could be reached.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
-/// Writes a text as HTTP chunks of at most so many bytes, each of which the balancer reads by itself.
-fn write_in_chunks(mut watch: &TcpStream, text: &[u8], chunk_length: usize) {
-    let mut message = Vec::new();
-    for chunk in text.chunks(chunk_length) {
-        write!(message, "{:x}\r\n", chunk.len()).unwrap();
-        message.extend_from_slice(chunk);
-        message.extend_from_slice(b"\r\n");
-    }
-    watch.write_all(&message).unwrap();
-}
+/// In automatic mode the proxy begins the watch itself, and begins it again from the revision that it has
+/// when discovery ends it.
+#[test]
+fn an_automatic_watch_begins_at_the_start_and_continues_after_its_end() {
+    let mut watching = WatchingProxy::start();
+    let target = &watching.target;
+    assert!(target.contains("stream=1") && target.contains("index=1"), "{target}");
 
-/// A list in which the first upstream is in this state, and all others, at the same address, in another.
-fn large_list(revision: u64, address: SocketAddr, first: &str, others: &str) -> String {
-    let state = |number| if number == 0 { first } else { others };
-    let entries = (0..LARGE_FLEET).map(|number| entry(&format!("s-{number}"), address, state(number)));
-    list(revision, true, &entries.collect::<Vec<_>>())
-}
+    // The line before the end must not be lost.
+    watching.watch.send_line(&delta(2, &[]));
+    watching.watch.end();
 
-/// Guards the drain rule where a change comes in two pieces: wherever the first one ends, in a number too, the change
-/// is no less readable than in one piece, and the watch goes on.
-#[test]
-fn a_change_may_be_cut_at_any_byte() {
-    let Watching { upstream: leaving, node: _node, mut client, watch, calls } = Watching::start();
-    // Brackets and quotes in a string are no ends.
-    let other = entry(r#"서울-\"]}{\\\u00e9\ud83d\ude00"#, nobody(), "Terminating");
-    let other = other.replace(r#""capacity_hint":1.0"#, r#""capacity_hint":-1.5E+02"#);
-    let change = |state| list(2, false, &[other.clone(), entry("s-0", leaving.address, state)]) + "\n";
-    let ready = change("Ready");
-    for cut in 1..ready.len() {
-        let (head, tail) = ready.as_bytes().split_at(cut);
-        write_in_chunks(&watch, head, head.len());
-        write_in_chunks(&watch, tail, tail.len());
-    }
-    tell(&watch, &change("Terminating"));
-    until("its idle connection is closed", || leaving.ended() == 1);
-    assert_eq!(client.exchange(&book(5000, "x")).status(), 503);
-    assert!(calls.try_recv().is_err(), "the watch was begun anew");
+    let call = watching.discovery.next_call();
+    assert!(call.target.contains("stream=1") && call.target.contains("index=2"), "{}", call.target);
+    let draining = endpoint("s-0", watching.upstream.address, EndpointState::Draining);
+    call.watch.send_line(&delta(3, &[draining]));
+    wait_until("the idle connection is closed", || watching.upstream.closed_connections() == 1);
+    assert_eq!(watching.client.exchange(&at_most_once_request(5000, "x")).status(), 503);
+    assert_eq!(watching.upstream.requests().len(), 1);
 }
 
-/// Guards the drain rule in large fleets: the time that a list takes to read grows with its length, not with the number
-/// of its pieces too.
+/// Discovery sends a line every 2 s; a watch without one is dead though it has not ended.
 #[test]
-fn a_list_of_thousands_may_come_in_small_pieces() {
-    let Watching { upstream: leaving, node: _node, watch, calls, .. } = Watching::start();
-    write_in_chunks(&watch, large_list(2, nobody(), "Terminating", "Ready").as_bytes(), 16);
-    until("its idle connection is closed", || leaving.ended() == 1);
-    assert!(calls.try_recv().is_err(), "the watch was begun anew");
+fn a_silent_watch_is_replaced() {
+    let discovery = StubDiscovery::start();
+    let _proxy = ProxyConfig::new(&[unused_address()])
+        .discovery(discovery.address)
+        .discovery_mode(DiscoveryMode::Subscribe)
+        .start();
+
+    // Each watch begins with a line: the decisions poll again by themselves where no response came.
+    let silent = discovery.next_call();
+    silent.watch.send_line(&snapshot(2, &[]));
+    let dripping = discovery.next_call();
+    dripping.watch.send_line(&snapshot(3, &[]));
+    // Bytes that complete no line don't count.
+    std::thread::spawn(move || {
+        while dripping.watch.try_send_chunk(" ").is_ok() {
+            std::thread::sleep(Duration::from_millis(200));
+        }
+    });
+
+    discovery.next_call();
 }
 
-/// Guards the drain rule from the first moment of a process: the list known from before is old. What discovery has to
-/// tell counts at once, so nothing is sent before it has answered, unless it takes long.
+/// The cached list is old, so an upstream in it may be draining. Nothing is sent before the list of discovery
+/// is complete, unless that takes long.
 #[test]
-fn a_new_process_waits_for_the_list_of_now() {
-    let (leaving, staying) = (Upstream::start(Then::Answer(OK)), Upstream::start(Then::Answer(OK)));
-    let (discovery, calls) = discovery();
-    let mut setup = Setup::with(&[leaving.address, staying.address]);
-    setup.discovery = discovery;
-    let node = setup.launch();
-    let send = || {
-        if node.serves() {
-            node.connect().exchange(&look(5000));
+fn a_new_process_waits_for_the_present_list_before_it_forwards_requests() {
+    let draining = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+    let ready = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+    let discovery = StubDiscovery::start();
+    let proxy = ProxyConfig::new(&[draining.address, ready.address]).discovery(discovery.address).launch();
+    let send_if_listening = || {
+        if proxy.is_listening() {
+            proxy.connect().exchange(&idempotent_request(5000));
         }
     };
+
     let mut call = None;
-    until("it calls", || {
-        send();
-        call = calls.try_recv().ok();
+    wait_until("the proxy calls discovery", || {
+        send_if_listening();
+        call = discovery.try_next_call();
         call.is_some()
     });
-    let (_, watch) = call.expect("a watch");
-    // It comes slowly, and longer than the grace for a server that drains.
-    let drains = list(2, false, &[entry("s-0", leaving.address, "Terminating")]);
-    for piece in drains.as_bytes().chunks(2) {
-        send();
+    let watch = call.expect("a watch").watch;
+    // The list takes longer than the grace period of a draining upstream.
+    let list = delta(2, &[endpoint("s-0", draining.address, EndpointState::Draining)]);
+    for piece in list.as_bytes().chunks(2) {
+        send_if_listening();
         std::thread::sleep(Duration::from_millis(5));
-        write_in_chunks(&watch, piece, piece.len());
+        watch.send_in_chunks(piece, piece.len());
     }
-    until("it serves", || node.serves());
+    wait_until("the proxy listens", || proxy.is_listening());
     for _ in 0..10 {
-        assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
+        assert_eq!(proxy.connect().exchange(&idempotent_request(5000)).status(), 200);
     }
-    assert_eq!(leaving.seen().len(), 0, "it was sent to by the old list");
-}
 
-/// Guards the drain rule where an entry holds something that can't be read: who can be told from it is not sent to.
-#[test]
-fn an_upstream_whose_entry_is_unreadable_is_not_sent_to() {
-    for (from, to) in [
-        (r#""pod_group":0"#, r#""pod_group":"none""#),
-        (r#""state":"Terminating""#, r#""state":"Stopping""#),
-        (r#""boot_ms":0"#, r#""boot_ms":null"#),
-        (r#""capacity_hint":1.0"#, r#""capacity_hint":[]"#),
-    ] {
-        let Watching { upstream: leaving, node: _node, mut client, watch, .. } = Watching::start();
-        let odd = entry("s-0", leaving.address, "Terminating").replace(from, to);
-        tell(&watch, &list(2, false, &[odd]));
-        until("its idle connection is closed", || leaving.ended() == 1);
-        assert_eq!(client.exchange(&book(5000, "x")).status(), 503);
-    }
+    assert_eq!(draining.requests().len(), 0, "a request was sent by the cached list");
 }
 
-/// Discovery that answers every call with the same list, but so late.
+/// Discovery that responds to every call with the same list after a delay.
 fn slow_discovery(delay: Duration, list: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let list = list.clone();
-            std::thread::spawn(move || {
-                let _call = Message::read(&mut BufReader::new(&stream));
-                std::thread::sleep(delay);
-                let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let answer = format!("{head}{:x}\r\n{list}\r\n", list.len());
-                // The caller may have given up.
-                let _ = (&stream).write_all(answer.as_bytes());
-                std::thread::sleep(LONG);
-            });
+            std::thread::spawn(move || respond_late(&stream, delay, &list));
         }
     });
     address
 }
 
-/// Guards the drain rule where discovery is crowded: a call that is given up has to wait its turn again, so the next one
-/// is given more time. A change counts as told after 6 s.
+fn respond_late(mut stream: &TcpStream, delay: Duration, list: &str) {
+    let _call = Message::read(&mut BufReader::new(stream));
+    std::thread::sleep(delay);
+    let response = format!("{RESPONSE_HEAD}{:x}\r\n{list}\r\n", list.len());
+    // The proxy may have closed the connection.
+    let _ = stream.write_all(response.as_bytes());
+    std::thread::sleep(TIMEOUT);
+}
+
+/// Where discovery is overloaded, a call that is given up loses its place in the queue, so the next one must
+/// be given more time.
+#[test]
+fn an_update_takes_effect_in_time_though_discovery_responds_late() {
+    for mode in [DiscoveryMode::Automatic, DiscoveryMode::Subscribe] {
+        let draining = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+        let list = snapshot(2, &[endpoint("s-0", draining.address, EndpointState::Draining)]);
+        let discovery = slow_discovery(Duration::from_millis(1500), list);
+
+        let start = Instant::now();
+        let proxy = ProxyConfig::new(&[draining.address]).discovery(discovery).discovery_mode(mode).start();
+        let mut client = proxy.connect();
+        assert_eq!(client.exchange(&at_most_once_request(5000, "x")).status(), 200);
+
+        wait_until("the idle connection is closed", || draining.closed_connections() == 1);
+        assert!(start.elapsed() < NOTIFIED_AFTER, "{:?}", start.elapsed());
+    }
+}
+
+/// A proxy that waited for discovery for ever would never serve. Discovery is down, or ends each response
+/// behind its head.
 #[test]
-fn discovery_that_answers_late_is_followed() {
-    for asks in [false, true] {
-        let leaving = Upstream::start(Then::Answer(OK));
-        let drains = list(2, true, &[entry("s-0", leaving.address, "Terminating")]);
-        let mut setup = Setup::with(&[leaving.address]);
-        setup.discovery = slow_discovery(Duration::from_millis(1500), drains);
-        setup.asks = asks;
-        let begun = Instant::now();
-        let node = setup.start();
-        let mut client = node.connect();
-        assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
-        until("its idle connection is closed", || leaving.ended() == 1);
-        assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
+fn a_new_process_serves_by_the_cached_list_when_discovery_sends_none() {
+    let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+    for discovery in [unused_address(), StubDiscovery::start().address] {
+        let start = Instant::now();
+        let proxy = ProxyConfig::new(&[upstream.address]).discovery(discovery).start();
+
+        assert_eq!(proxy.connect().exchange(&idempotent_request(5000)).status(), 200);
+        assert!(start.elapsed() < NOTIFIED_AFTER, "{:?}", start.elapsed());
     }
 }
 
-/// Guards against a process that never serves as its discovery is down: it goes by the list known from before then.
+/// Accepts the calls that have queued up at a listener, and responds to each with a list.
+fn respond_to_all_calls(discovery: TcpListener, list: String) {
+    std::thread::spawn(move || {
+        for mut stream in discovery.incoming().map_while(Result::ok) {
+            // The proxy may have closed the connections of earlier calls.
+            if Message::read(&mut BufReader::new(&stream)).is_some() {
+                let _ = stream.write_all(RESPONSE_HEAD.as_bytes());
+                let _ = write!(&stream, "{:x}\r\n{list}\n\r\n", list.len() + 1);
+            }
+            std::mem::forget(stream);
+        }
+    });
+}
+
+/// Idle clients have taken all sockets while discovery was down. Once it has recovered, its list must take
+/// effect in time and new clients must be served.
 #[test]
-fn a_new_process_serves_though_discovery_is_silent() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    for discovery in [nobody(), discovery().0] {
-        let mut setup = Setup::with(&[upstream.address]);
-        setup.discovery = discovery;
-        let begun = Instant::now();
-        let node = setup.start();
-        assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
-        assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
+fn the_list_of_recovered_discovery_takes_effect_though_idle_clients_hold_all_sockets() {
+    for mode in [DiscoveryMode::Automatic, DiscoveryMode::Subscribe] {
+        let removed = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+        let added = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+        // Connections are established, but get no response until a call is accepted.
+        let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+        let proxy = ProxyConfig::new(&[removed.address])
+            .discovery(discovery.local_addr().unwrap())
+            .discovery_mode(mode)
+            .sockets(64)
+            .start();
+        let mut idle = Vec::new();
+        let mut silent = Vec::new();
+        for _ in 0..40 {
+            let mut client = proxy.connect();
+            assert_eq!(client.exchange(&idempotent_request(8000)).status(), 200);
+            idle.push(client);
+            silent.push(proxy.connect());
+        }
+        wait_until("a call to discovery has failed", || {
+            proxy.has_logged(log_text::WATCH_ENDED) || proxy.has_logged(log_text::CALL_TIMED_OUT)
+        });
+
+        let recovered_at = Instant::now();
+        let list = delta(
+            2,
+            &[
+                endpoint("s-0", removed.address, EndpointState::Removed),
+                endpoint("s-1", added.address, EndpointState::Ready),
+            ],
+        );
+        respond_to_all_calls(discovery, list);
+
+        wait_until("the list takes effect", || {
+            silent.push(proxy.connect());
+            let response = proxy.connect().exchange(&idempotent_request(8000));
+            response.status() == 200 && !added.requests().is_empty()
+        });
+        assert!(recovered_at.elapsed() < NOTIFIED_AFTER, "{:?}", recovered_at.elapsed());
     }
 }
--- /dev/null
+++ b/crates/proxy/tests/lifecycle.rs
@@ -0,0 +1,94 @@
+//! The life of the process: its configuration, the reload by SIGHUP, and the graceful shutdown by SIGTERM.
+
+mod common;
+
+use common::*;
+use std::process::{Command, Stdio};
+
+/// A proxy that starts with a part of its configuration would surprise its operator.
+#[test]
+fn an_invalid_configuration_ends_the_process_with_an_error_that_names_the_fault() {
+    let path = std::env::temp_dir().join(format!("balancer-proxy-bad-{}.json", std::process::id()));
+    let valid = ProxyConfig::new(&[]).text();
+    for (from, to, named) in [
+        ("idempotent", "perhaps", "perhaps"),
+        ("\"seed\"", "\"seeds\"", "seed"),
+        ("\"balancers\":1", "\"balancers\":0", "balancers"),
+        ("{", "[", "balancer-proxy:"),
+    ] {
+        std::fs::write(&path, valid.replacen(from, to, 1)).unwrap();
+        let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"));
+        let output = command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).output().unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success() && error.contains(named), "{error}");
+    }
+    std::fs::remove_file(&path).unwrap();
+
+    let mut without_path = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"));
+    let output = without_path.env_remove("NODE_CONFIG").output().unwrap();
+    assert!(!output.status.success());
+}
+
+/// When discovery has moved, the watch goes to the new address at once and continues from the revision at
+/// hand; nothing that the old one does later counts. A configuration that can't be read changes nothing.
+#[test]
+fn a_reload_moves_the_watch_to_the_new_address_of_discovery_and_keeps_connections() {
+    let WatchingProxy {
+        upstream: first,
+        discovery: old_discovery,
+        config,
+        mut proxy,
+        mut client,
+        watch: old_watch,
+        ..
+    } = WatchingProxy::start_with(|config| config.discovery_mode(DiscoveryMode::Subscribe));
+    let second = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+    let new_discovery = StubDiscovery::start();
+    old_watch.send_line(&snapshot(7, &[endpoint("s-0", first.address, EndpointState::Ready)]));
+
+    proxy.reload("{");
+    wait_until("the malformed file is rejected", || proxy.has_logged(log_text::CONFIGURATION_REJECTED));
+    proxy.reload(&config.text());
+    wait_until("the valid file is read", || proxy.has_logged(log_text::CONFIGURATION_RELOADED));
+    proxy.reload(&config.discovery(new_discovery.address).text());
+
+    let call = new_discovery.next_call();
+    assert!(call.target.contains("stream=1") && call.target.contains("index=7"), "{}", call.target);
+    assert!(old_discovery.try_next_call().is_none(), "a reload with the same address causes no call");
+    drop(old_watch);
+    drop(old_discovery);
+    assert_eq!(client.exchange(&at_most_once_request(5000, "x")).status(), 200);
+    assert_eq!(first.accepted_connections(), 1, "connections stay open");
+    call.watch.send_line(&snapshot(8, &[endpoint("s-1", second.address, EndpointState::Ready)]));
+    wait_until("the list of the new address takes effect", || {
+        client.exchange(&at_most_once_request(5000, "x"));
+        !second.requests().is_empty()
+    });
+    assert!(new_discovery.try_next_call().is_none(), "one call was enough");
+    assert!(proxy.is_running());
+}
+
+/// After SIGTERM the readiness check fails, connections are closed behind their next response, requests in
+/// flight get their final response, and the process ends by itself.
+#[test]
+fn a_graceful_shutdown_responds_to_all_requests_in_flight() {
+    let upstream = StubUpstream::start(Behavior::NeverRespond);
+    let mut proxy = ProxyConfig::new(&[upstream.address]).deadline_ms(60_000).start();
+    let mut in_flight = proxy.connect();
+    let mut idle = proxy.connect();
+    assert_eq!(idle.exchange(READINESS_CHECK).status(), 200);
+    in_flight.send(&at_most_once_request(60_000, "x"));
+    wait_until("the upstream has got the request", || upstream.requests().len() == 1);
+
+    proxy.terminate();
+
+    let mut status = 200;
+    wait_until("the proxy is not ready any more", || {
+        status = proxy.connect().exchange(READINESS_CHECK).status();
+        status == 503
+    });
+    let response = in_flight.response().expect("a response before the connection is closed");
+    assert!(response.says_possibly_executed(), "{response:?}");
+    assert!(idle.is_closed(), "idle connections are closed");
+    assert!(proxy.wait().success());
+}
--- /dev/null
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -0,0 +1,75 @@
+//! Requests that are malformed, incomplete or not allowed: they get a client error, are not forwarded, and
+//! the proxy keeps running.
+
+mod common;
+
+use common::*;
+
+/// The largest body that the proxy accepts.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The length and the body of a request with the body `x`.
+const LENGTH_AND_BODY: &str = "Content-Length: 1\r\n\r\nx";
+
+/// What is replaced in a valid request, and by what, to make it malformed.
+const REPLACEMENTS: [(&str, &str); 28] = [
+    ("/book/day", "/nothing"),
+    ("/book/day", "/%ff%00"),
+    ("POST", "DELETE"),
+    ("POST", "GET"),
+    ("acme", "nobody"),
+    ("X-Account: acme\r\n", ""),
+    ("X-Correlation-Id: 9b1f03aa\r\n", ""),
+    ("9b1f03aa", ""),
+    ("X-Time-Left-Ms: 5000\r\n", ""),
+    (": 5000", ": soon"),
+    (": 5000", ": -5"),
+    (": 5000", ": 99999999999999999999"),
+    ("Host", "X-Weight-Hint: heavy\r\nHost"),
+    ("/book/day", "/keyed"),
+    (LENGTH_AND_BODY, "Content-Length: 99999999\r\n\r\n"),
+    ("Content-Length: 1", "Content-Length: one"),
+    ("Content-Length: 1", "Content-Length: -1"),
+    ("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 2"),
+    ("Content-Length: 1", "Content-Length: 1\r\nTransfer-Encoding: chunked"),
+    ("Content-Length: 1", "Transfer-Encoding: chunked\r\nContent-Length: 1"),
+    ("Content-Length: 1", "Transfer-Encoding: chunked\r\ncontent-LENGTH: 1"),
+    (": 5000", ": +5000"),
+    (": 5000", ": 5000\r\nX-Time-Left-Ms: 5000"),
+    ("9b1f03aa", "9b1f03aa\r\nX-Correlation-Id: 9b1f03aa"),
+    ("9b1f03aa", "9b\u{e9}03aa"),
+    ("acme", "acme\r\nX-Account: acme"),
+    ("Host: app.svc\r\n", ""),
+    (" HTTP/1.1", ""),
+];
+
+/// A request with this body in one chunk.
+fn chunked_request(valid: &str, body: &str) -> String {
+    let chunked = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
+    valid.replacen(LENGTH_AND_BODY, &chunked, 1)
+}
+
+#[test]
+fn malformed_requests_get_a_client_error_and_are_not_forwarded() {
+    let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+    let mut proxy = ProxyConfig::new(&[upstream.address]).start();
+    let valid = at_most_once_request(5000, "x");
+
+    for (from, to) in REPLACEMENTS {
+        let malformed = valid.replacen(from, to, 1);
+        assert_ne!(malformed, valid);
+        let response = proxy.connect().exchange(&malformed);
+        let is_client_error = (400..500).contains(&response.status()) && response.status() != 429;
+        assert!(is_client_error, "{malformed:?}: {response:?}");
+    }
+    let too_long = "y".repeat(MAX_BODY_BYTES + 1);
+    let response = proxy.connect().exchange(&chunked_request(&valid, &too_long));
+    assert_eq!(response.status(), 413);
+    proxy.connect().send("\u{1}\u{2} nonsense\r\n\r\n");
+    assert!(upstream.requests().is_empty());
+
+    // Without a second length a chunked body is valid.
+    assert_eq!(proxy.connect().exchange(&chunked_request(&valid, "x")).status(), 200);
+    let longest = &too_long[1..];
+    assert_eq!(proxy.connect().exchange(&at_most_once_request(5000, longest)).status(), 200);
+    assert!(proxy.is_running());
+}
