--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -4,18 +4,20 @@
 #[path = "../common/mod.rs"]
 mod common;
 mod fleet;
+mod idle_new_upstream;
 mod utilization;
 mod windows;
 
 use balancer_core::*;
 use common::*;
-use fleet::{Disturbance, Fleet, NEW_UPSTREAM, NewUpstreamReports, Scenario};
+use fleet::{Disturbance, Fleet, NewUpstreamReports, Scenario};
+use idle_new_upstream::{NEW_UPSTREAM_AT, WARM_CAPACITY};
 use std::time::Duration;
 use windows::WindowCounts;
 
 /// Each balancer's share of the budget is less than one request. The sum over all balancers must stay within
 /// the budget in every window: with many of them, while they restart, after a pause in which all have saved
-/// turns, and when attempts fail and are sent again.
+/// turns, and when attempts fail, so that the upstream is ejected and probed again and again.
 #[test]
 fn an_upstream_in_slow_start_is_not_overloaded_by_all_balancers_together() {
     for (balancers, requests_per_second) in [(20, 14.0), (30, 14.0), (350, 2.0)] {
@@ -111,83 +113,6 @@
     assert!(forwarded >= 36, "{forwarded} of 40 forwarded once the upstreams respond");
 }
 
-/// Requests that a client waits for: the fleet gets this many per second.
-const REQUESTS_PER_SECOND: u64 = 700;
-/// How long every attempt takes.
-const LATENCY: Duration = Duration::from_millis(20);
-/// How long a request is followed.
-const FOLLOWED_FOR: Duration = Duration::from_millis(100);
-/// Capacity of a warm upstream in requests per second.
-const WARM_CAPACITY: f64 = 100.0;
-const NEW_UPSTREAM_AT: Duration = Duration::from_secs(3);
-
-struct FollowedRequest {
-    balancer: usize,
-    id: RequestId,
-    ended_attempts: usize,
-    sent_at: Duration,
-}
-
-/// Ends the attempts of a request that have had their latency. Returns whether the request has to be followed
-/// further, and adds the attempts at the new upstream to `sent_to_new`.
-fn follow_request(
-    request: &mut FollowedRequest,
-    harness: &mut BalancerHarness,
-    now: Duration,
-    sent_to_new: &mut Vec<Duration>,
-) -> bool {
-    while request.ended_attempts < harness.attempt_count(request.id) {
-        let attempt = harness.attempts[&request.id][request.ended_attempts];
-        if now < attempt.sent_at + LATENCY {
-            return true;
-        }
-        if attempt.upstream == NEW_UPSTREAM {
-            sent_to_new.push(attempt.sent_at);
-        }
-        harness.end_attempt(request.id, request.ended_attempts, Outcome::Ok);
-        request.ended_attempts += 1;
-    }
-    now < request.sent_at + FOLLOWED_FOR && harness.response(request.id).is_none()
-}
-
-/// Answers the health checks: the new upstream has no requests in flight, the others have two.
-fn end_health_checks(harness: &mut BalancerHarness) {
-    for upstream in harness.take_health_checks() {
-        let in_flight = if upstream == NEW_UPSTREAM { 0.0 } else { 2.0 };
-        harness.report_load(upstream, &[in_flight]);
-    }
-}
-
-/// Plays ten warm upstreams at 70 % of their capacity and a new one. Returns when attempts were sent to the
-/// new one.
-fn attempts_at_idle_new_upstream(settings_of: impl Fn(u32) -> Settings, balancers: u32) -> Vec<Duration> {
-    let start =
-        |index| BalancerHarness::starting_at(ms(0), settings_of(index), u64::from(index), &endpoints(10));
-    let mut harnesses: Vec<_> = (0..balancers).map(start).collect();
-    let mut sent_to_new = Vec::new();
-    let mut followed: Vec<FollowedRequest> = Vec::new();
-    for step in 0..(12_000 * REQUESTS_PER_SECOND / 1000) {
-        let now = Duration::from_micros(step * 1_000_000 / REQUESTS_PER_SECOND);
-        for harness in &mut harnesses {
-            harness.advance_to(now);
-            if now == NEW_UPSTREAM_AT {
-                let new = EndpointBuilder::new(NEW_UPSTREAM.0).started_at(now).build();
-                harness.update_endpoints(UpdateScope::Delta, &[new]);
-            }
-            end_health_checks(harness);
-        }
-        let balancer = (step as usize * 7919) % harnesses.len();
-        let id = harnesses[balancer].send_request(0, 0, ms(600));
-        followed.push(FollowedRequest { balancer, id, ended_attempts: 0, sent_at: now });
-        followed.retain_mut(|request| {
-            let harness = &mut harnesses[request.balancer];
-            follow_request(request, harness, now, &mut sent_to_new)
-        });
-    }
-    sent_to_new.sort();
-    sent_to_new
-}
-
 /// A new upstream is idle while the others are loaded, so every balancer prefers it. All of them together
 /// must still not send it more than the configured multiple of its capacity in any window.
 #[test]
@@ -208,11 +133,12 @@
                 .build()
         };
 
-        let sent = attempts_at_idle_new_upstream(settings_of, balancers);
+        let sent = idle_new_upstream::attempts_at_new_upstream(settings_of, balancers);
 
         assert!(sent.len() > 10, "the new upstream warms up by requests, got {}", sent.len());
         for window in WindowCounts::new(&sent, OVERLOAD_DURATION) {
             let age = window.begins_at.saturating_sub(NEW_UPSTREAM_AT).as_secs_f64();
+            // With a second of tolerance.
             let capacity = WARM_CAPACITY * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
             let budget = OVERLOAD_FACTOR * capacity * OVERLOAD_SECONDS;
             let requests = window.requests;
