--- a/crates/core/tests/capacity/main.rs
+++ b/crates/core/tests/capacity/main.rs
@@ -66,8 +66,8 @@
 }
 
 /// Each of many balancers sees few responses: an average over dozens of load reports would show a loss of
-/// capacity only when the queues of the upstreams are full. Little more than the remaining capacity may be
-/// admitted in the seconds after the loss.
+/// capacity only when the queues of the upstreams are full. From half a second after the loss, less than the
+/// remaining capacity is admitted, and more than 40 % of it.
 #[test]
 fn admission_follows_a_loss_of_capacity_within_half_a_second() {
     let mut fleet = Fleet::start();
--- a/crates/core/tests/invariants/main.rs
+++ b/crates/core/tests/invariants/main.rs
@@ -15,7 +15,7 @@
 use world::World;
 
 /// Longer than the deadline of every class.
-const LONGEST_DEADLINE_MS: u64 = 1600;
+const AFTER_ALL_DEADLINES_MS: u64 = 1600;
 /// How long after its deadline a request may get its final response.
 const RESPONSE_TOLERANCE: Duration = Duration::from_millis(20);
 
@@ -55,7 +55,7 @@
         for (number, operation) in operations.iter().enumerate() {
             world.play(operation, number as u32);
         }
-        world.advance(LONGEST_DEADLINE_MS);
+        world.advance(AFTER_ALL_DEADLINES_MS);
         // Only streams are still in flight.
         for in_flight in world.attempts_in_flight() {
             world.end_attempt(in_flight, Outcome::Ok, 0.0);
--- a/crates/proxy/tests/lifecycle.rs
+++ b/crates/proxy/tests/lifecycle.rs
@@ -29,8 +29,8 @@
     assert!(!output.status.success());
 }
 
-/// When discovery has moved, the watch goes to the new address at once and continues from the revision at
-/// hand; nothing that the old one does later counts. A configuration that can't be read changes nothing.
+/// When discovery has moved, the watch goes to the new address and continues from the revision at hand;
+/// nothing that the old one does later counts. A configuration that can't be read changes nothing.
 #[test]
 fn a_reload_moves_the_watch_to_the_new_address_of_discovery_and_keeps_connections() {
     let WatchingProxy {
