--- a/crates/core/tests/golden/scenario.rs
+++ b/crates/core/tests/golden/scenario.rs
@@ -14,96 +14,114 @@
     pub unreachable_percent: u64,
 }
 
+/// All scenarios. Their order is part of what is recorded, as it determines the seeds.
 pub fn scenarios() -> Vec<Scenario> {
-    let ms = Duration::from_millis;
-    let tenants = |quotas: &[f64]| quotas.iter().map(|q| Tenant { quota_per_second: *q }).collect::<Vec<_>>();
-    let deduplicated = |scope| RetrySafety::Deduplicated { scope, ttl: ms(800) };
-    let class = |aim, deadline, effect| RequestClass {
-        latency_objective: ms(aim),
-        deadline: ms(deadline),
-        retry_safety: effect,
-        ..RequestClass::default()
-    };
-    let classes = vec![
-        class(300, 1500, RetrySafety::Idempotent),
-        class(500, 2500, RetrySafety::AtMostOnce),
-        RequestClass { late_priority_weight: 0.4, ..class(250, 1200, deduplicated(DeduplicationScope::All)) },
-        class(400, 2000, deduplicated(DeduplicationScope::Zone)),
-        class(400, 2000, deduplicated(DeduplicationScope::Cell)),
-        RequestClass { streamed: true, ..class(600, 3000, RetrySafety::Idempotent) },
-        RequestClass { latency_objective_stretch: 1.5, ..class(900, 3000, RetrySafety::Idempotent) },
-    ];
-    let base = Settings {
+    vec![
+        scenario("small fleet", 6, 4000, Settings { balancers: 1, index: 0, ..base_settings() }),
+        scenario("large fleet", 300, 4000, large_fleet()),
+        scenario("polled list", 40, 4000, polled_list()),
+        scenario("live weights", 30, 2000, live_weights()),
+        scenario("no cancelling", 20, 4000, no_cancellation()),
+        scenario("thin traffic", 60, 30_000, Settings { balancers: 24, index: 17, ..base_settings() }),
+        scenario("crowded", 8, 1000, steep_slow_start()),
+        outage(),
+    ]
+}
+
+fn scenario(
+    name: &'static str,
+    upstreams: u64,
+    request_gap_microseconds: u64,
+    settings: Settings,
+) -> Scenario {
+    let request_gap = Duration::from_micros(request_gap_microseconds);
+    Scenario { name, settings, upstreams, request_gap, unreachable_percent: 0 }
+}
+
+fn large_fleet() -> Settings {
+    Settings {
+        balancers: 240,
+        index: 77,
+        prices: Prices { cross_zone: 0.02, ..Prices::default() },
+        ..base_settings()
+    }
+}
+
+fn polled_list() -> Settings {
+    Settings {
+        poll_endpoints: true,
+        poll_interval: Duration::from_secs(3),
+        hedging: false,
+        ..base_settings()
+    }
+}
+
+fn live_weights() -> Settings {
+    Settings {
+        weight_kind: WeightKind::Live,
+        prices: Prices { cross_zone: 0.06, ..Prices::default() },
+        load_report_fields: vec![LoadField::Queue, LoadField::ServiceMs],
+        ..base_settings()
+    }
+}
+
+fn no_cancellation() -> Settings {
+    Settings {
+        cancellation: false,
+        weight_kind: WeightKind::Ignored,
+        load_reporting: LoadReporting::Off,
+        load_report_fields: Vec::new(),
+        max_attempts: 2,
+        ..base_settings()
+    }
+}
+
+fn steep_slow_start() -> Settings {
+    Settings { overload_factor: 1.5, slow_start_floor: 0.1, ..base_settings() }
+}
+
+fn outage() -> Scenario {
+    let settings = Settings { cancellation: false, ..base_settings() };
+    Scenario { unreachable_percent: 80, ..scenario("outage", 24, 20_000, settings) }
+}
+
+fn base_settings() -> Settings {
+    let quotas = [400.0, 200.0, 90.0, 0.0];
+    Settings {
         balancers: 4,
         index: 1,
-        classes,
-        tenants: tenants(&[400.0, 200.0, 90.0, 0.0]),
+        classes: classes(),
+        tenants: quotas.map(|quota_per_second| Tenant { quota_per_second }).to_vec(),
         over_quota_weight: 0.2,
-        slow_start_duration: ms(4000),
+        slow_start_duration: Duration::from_secs(4),
         load_report_fields: vec![LoadField::InFlight, LoadField::Utilization, LoadField::Other],
         load_reporting: LoadReporting::Inline,
         ..Settings::default()
-    };
-    let scenario = |name, upstreams, gap, settings| Scenario {
-        name,
-        settings,
-        upstreams,
-        request_gap: Duration::from_micros(gap),
-        unreachable_percent: 0,
-    };
+    }
+}
+
+/// One class of each kind of retry safety, and the special cases.
+fn classes() -> Vec<RequestClass> {
     vec![
-        scenario("small fleet", 6, 4000, Settings { balancers: 1, index: 0, ..base.clone() }),
-        scenario(
-            "large fleet",
-            300,
-            4000,
-            Settings {
-                balancers: 240,
-                index: 77,
-                prices: Prices { cross_zone: 0.02, ..Prices::default() },
-                ..base.clone()
-            },
-        ),
-        scenario(
-            "polled list",
-            40,
-            4000,
-            Settings { poll_endpoints: true, poll_interval: ms(3000), hedging: false, ..base.clone() },
-        ),
-        scenario(
-            "live weights",
-            30,
-            2000,
-            Settings {
-                weight_kind: WeightKind::Live,
-                prices: Prices { cross_zone: 0.06, ..Prices::default() },
-                load_report_fields: vec![LoadField::Queue, LoadField::ServiceMs],
-                ..base.clone()
-            },
-        ),
-        scenario(
-            "no cancelling",
-            20,
-            4000,
-            Settings {
-                cancellation: false,
-                weight_kind: WeightKind::Ignored,
-                load_reporting: LoadReporting::Off,
-                load_report_fields: Vec::new(),
-                max_attempts: 2,
-                ..base.clone()
-            },
-        ),
-        scenario("thin traffic", 60, 30_000, Settings { balancers: 24, index: 17, ..base.clone() }),
-        scenario(
-            "crowded",
-            8,
-            1000,
-            Settings { overload_factor: 1.5, slow_start_floor: 0.1, ..base.clone() },
-        ),
-        Scenario {
-            unreachable_percent: 80,
-            ..scenario("outage", 24, 20_000, Settings { cancellation: false, ..base })
-        },
+        class(300, 1500, RetrySafety::Idempotent),
+        class(500, 2500, RetrySafety::AtMostOnce),
+        RequestClass { late_priority_weight: 0.4, ..class(250, 1200, deduplicated(DeduplicationScope::All)) },
+        class(400, 2000, deduplicated(DeduplicationScope::Zone)),
+        class(400, 2000, deduplicated(DeduplicationScope::Cell)),
+        RequestClass { streamed: true, ..class(600, 3000, RetrySafety::Idempotent) },
+        RequestClass { latency_objective_stretch: 1.5, ..class(900, 3000, RetrySafety::Idempotent) },
     ]
 }
+
+fn class(latency_objective_ms: u64, deadline_ms: u64, retry_safety: RetrySafety) -> RequestClass {
+    RequestClass {
+        latency_objective: Duration::from_millis(latency_objective_ms),
+        deadline: Duration::from_millis(deadline_ms),
+        retry_safety,
+        ..RequestClass::default()
+    }
+}
+
+fn deduplicated(scope: DeduplicationScope) -> RetrySafety {
+    RetrySafety::Deduplicated { scope, ttl: Duration::from_millis(800) }
+}
