--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -10,7 +10,8 @@
     OverQuota,
     /// No upstream can take a request.
     NoUpstream,
-    /// No attempt was executed, and no retry is possible.
+    /// All attempts failed and no retry is possible. The request was not executed, or its class is
+    /// idempotent.
     NoRetry,
 }
 
@@ -33,7 +34,8 @@
         /// The attempt.
         attempt: AttemptIndex,
     },
-    /// Final response: the request was not executed, and it is safe to send it again.
+    /// Final response: the client can safely send the request again, because it was not executed or is
+    /// idempotent.
     Reject {
         /// The request.
         id: RequestId,
@@ -56,19 +58,19 @@
     },
     /// Begin to watch the endpoint list for changes.
     WatchEndpoints,
-    /// Fetch a snapshot of the endpoint list once.
+    /// Fetch a snapshot of the endpoint list once. Not emitted at present.
     FetchEndpoints,
     /// Close the idle connections to an upstream. Connections in use stay open.
     CloseIdleConnections {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Send a health check to an upstream.
+    /// Send a health check to an upstream. Not emitted at present.
     CheckHealth {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Write a line to the log.
+    /// Write a line to the log. Not emitted at present.
     Log {
         /// The text of the line.
         line: String,
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -10,6 +10,9 @@
 /// Requests of all tenants that the averaging window holds at least, so that a tenant which happens to be
 /// silent for a moment is not without demand.
 const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
+/// Least demand of all tenants that the averaging window is computed for, in requests per second: it limits
+/// the window.
+const MIN_TOTAL_DEMAND: f64 = 0.1;
 /// Seconds of the guaranteed rate that a bucket holds at most: what was saved is admitted even when capacity
 /// has just been lost.
 const MAX_GUARANTEE_SECONDS: f64 = 1.0;
@@ -19,13 +22,14 @@
 const MAX_GUARANTEE_FACTOR: f64 = 4.0;
 /// Seconds over which overload is averaged before the buckets shrink.
 const OVERLOAD_SMOOTHING_SECONDS: f64 = 0.3;
-/// Quota of a tenant for which none is stated, in requests per second.
-const DEFAULT_QUOTA: f64 = 1.0;
+/// Quota at each balancer of a tenant without a stated quota, in requests per second.
+const DEFAULT_QUOTA_PER_BALANCER: f64 = 1.0;
 
 /// The token buckets of all tenants.
 #[derive(Default)]
 pub(crate) struct Admission {
     buckets: Vec<TokenBucket>,
+    /// Seconds of the guaranteed rate that a bucket holds at most.
     guarantee_seconds: f64,
     /// Share of the requests in flight that exceeds the upstreams' capacity, smoothed.
     smoothed_overload: f64,
@@ -61,7 +65,8 @@
     /// Refills all buckets, `elapsed` seconds after the last refill.
     pub(crate) fn refill(&mut self, elapsed: f64, capacity: &SpareCapacity) {
         let total_demand: f64 = self.buckets.iter().map(TokenBucket::demand).sum();
-        let demand_window = MIN_DEMAND_WINDOW_SECONDS.max(MIN_DEMAND_WINDOW_REQUESTS / total_demand.max(0.1));
+        let demand_window =
+            MIN_DEMAND_WINDOW_SECONDS.max(MIN_DEMAND_WINDOW_REQUESTS / total_demand.max(MIN_TOTAL_DEMAND));
         let overload = capacity.overload_share();
         self.scale_guarantees(overload);
         self.smoothed_overload +=
@@ -107,5 +112,5 @@
 /// This balancer's equal part of a tenant's quota, in requests per second.
 fn quota_per_balancer(settings: &Settings, tenant: usize) -> f64 {
     let quota = settings.tenants.get(tenant).map_or(0.0, |tenant| tenant.quota_per_second);
-    if quota > 0.0 { quota / f64::from(settings.balancers) } else { DEFAULT_QUOTA }
+    if quota > 0.0 { quota / f64::from(settings.balancers) } else { DEFAULT_QUOTA_PER_BALANCER }
 }
--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -30,6 +30,8 @@
 const TICK_TIMER: TimerId = TimerId(0);
 
 /// The decisions of one balancer. See the documentation of the crate for its use.
+///
+/// `Balancer::default()` has no request classes and fails every request.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -78,8 +80,8 @@
         })
     }
 
-    /// Number of entries of state: upstreams, requests and scheduled checks. It is bounded by the upstreams
-    /// listed and the requests in flight.
+    /// Number of entries of state: upstreams (removed ones included until they are dropped), requests, and
+    /// checks of attempts, which outlive their attempts until they fall due.
     pub fn entries(&self) -> usize {
         self.upstreams.entries() + self.requests.entries()
     }
@@ -184,7 +186,7 @@
 
     fn refill_buckets(&mut self, elapsed: f64) {
         self.latency.decay(self.now, elapsed, &self.settings);
-        let upstreams: Vec<&Upstream> = self.upstreams.in_rotation().collect();
+        let upstreams: Vec<&Upstream> = self.upstreams.subset_members().collect();
         let utilization = mean_utilization(upstreams.iter().copied(), self.now);
         let latency = self.latency.summary(&self.settings, utilization.is_some());
         self.capacity.estimate(elapsed, &self.settings, &latency, utilization, &upstreams);
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -84,14 +84,16 @@
         self.completions = 0.0;
         self.update_rate(elapsed, self.completion_rate / total_weight, settings, latency, utilization);
         let mut allowed_latency = (latency.mean + latency.slack).max(0.0);
+        // Where utilization is reported, the rate already limits the load, so positive slack adds no queue.
         if utilization.is_some() {
             allowed_latency = allowed_latency.min(latency.mean);
         }
-        self.sum_over_upstreams(elapsed, f64::from(settings.balancers), allowed_latency, upstreams);
+        self.update_spare(elapsed, f64::from(settings.balancers), allowed_latency, upstreams);
     }
 
-    /// Takes in the rate that was just observed. A loss is followed at once: until it is, the requests
-    /// admitted for the lost capacity fill the queues.
+    /// Updates C from the observed rate. A lower rate is adopted at once where utilization is reported or
+    /// latency exceeds its allowance, because the requests admitted for lost capacity fill the queues;
+    /// otherwise it is adopted over [`RATE_DECAY_SECONDS`].
     fn update_rate(
         &mut self,
         elapsed: f64,
@@ -116,29 +118,24 @@
         }
     }
 
-    /// Sums W up over the upstreams, each of which may take `allowed_latency` seconds for a request.
-    fn sum_over_upstreams(
-        &mut self,
-        elapsed: f64,
-        balancers: f64,
-        allowed_latency: f64,
-        upstreams: &[&Upstream],
-    ) {
+    /// Updates W and the requests in flight as sums over the upstreams, each of which may take
+    /// `allowed_latency` seconds for a request.
+    fn update_spare(&mut self, elapsed: f64, balancers: f64, allowed_latency: f64, upstreams: &[&Upstream]) {
         self.spare = 0.0;
         self.in_flight = 0.0;
-        for upstream in upstreams.iter().filter(|upstream| upstream.rotation.weight > 0.0) {
+        for upstream in upstreams.iter().filter(|upstream| upstream.rotation.takes_turns()) {
             let weight = upstream.rotation.weight;
             let rate = self.rate * weight;
             let in_flight = f64::from(upstream.in_flight) + upstream.abandoned_attempts;
-            let stuck = f64::from(upstream.overdue_attempts) + upstream.abandoned_attempts;
+            let stuck_attempts = f64::from(upstream.overdue_attempts) + upstream.abandoned_attempts;
             // An upstream whose attempts are overdue has less capacity, but what it holds still counts as in
             // flight: otherwise W and the overload would both be zero when all are stuck, and no guarantee
             // would be cut.
-            let usable = 1.0 - stuck / in_flight.max(1.0);
-            // All balancers together leave each upstream one place at least: a fleet without stated rates
-            // would take long to start from nothing.
-            let queue_limit = (rate * allowed_latency).max(weight / balancers) * usable;
-            self.spare += elapsed * rate * usable + queue_limit - in_flight;
+            let usable_share = 1.0 - stuck_attempts / in_flight.max(1.0);
+            // All balancers together allow each upstream a queue of at least its weight times the usable
+            // share: upstreams without stated rates would take long to start from nothing.
+            let queue_limit = (rate * allowed_latency).max(weight / balancers) * usable_share;
+            self.spare += elapsed * rate * usable_share + queue_limit - in_flight;
             self.in_flight += in_flight;
         }
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -23,7 +23,7 @@
     pub id: UpstreamId,
     /// The failure domain it runs in.
     pub zone: ZoneId,
-    /// The hardware it runs on.
+    /// The hardware it runs on. Not used by the present decisions.
     pub hardware: HardwareId,
     /// The cell it belongs to.
     pub cell: CellId,
@@ -96,9 +96,9 @@
         tenant: TenantId,
         /// How long the client is still going to wait.
         time_left: Duration,
-        /// Expected work on a standard core in milliseconds, where known.
+        /// Expected work on a standard core in milliseconds, where known. Not used by the present decisions.
         expected_work_ms: Option<f64>,
-        /// The client marks the request as a retry of its own.
+        /// The client marks the request as a retry of its own. Not used by the present decisions.
         is_client_retry: bool,
     },
     /// A streamed response has started: the request no longer has a deadline.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -66,7 +66,8 @@
 //!
 //! An embedder must deliver the timers that [`Action::SetTimer`] asks for (the balancer's tick is one of
 //! them), and end an attempt as [`Outcome::TimedOut`] at its timeout or, at the latest, at the client's
-//! deadline. On these terms, a `Balancer` gives each request exactly one final response.
+//! deadline. On these terms, each request ends exactly once: with the response of an attempt that the
+//! embedder forwards, with [`Action::Reject`] or [`Action::Fail`], or with the disconnection of its client.
 
 mod action;
 mod admission;
--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -5,17 +5,14 @@
 use crate::event::Outcome;
 use crate::ids::{AttemptIndex, RequestId, UpstreamId};
 use crate::latency::LatencySample;
+use crate::requests::retry::{RETRY_COST, RETRY_COST_NOT_EXECUTED};
 use crate::requests::{Attempt, OverdueCheck};
 use crate::settings::RetrySafety;
-use crate::upstreams::{AttemptVerdict, is_fast};
+use crate::upstreams::{AttemptResult, is_fast};
 use std::time::Duration;
 
-/// What a retry costs where the attempt before it was not executed: it adds no work to the upstreams.
-const RETRY_COST_NOT_EXECUTED: f64 = 0.1;
-/// What any other retry costs.
-const RETRY_COST: f64 = 1.0;
-/// The longest time that an action or a rejection is computed with, in seconds.
-const MAX_SECONDS: f64 = 1e6;
+/// Longest remaining time, in seconds, so that it can be converted to a `Duration`.
+const MAX_TIME_LEFT_SECONDS: f64 = 1e6;
 /// The shortest timeout of an attempt, in seconds.
 const MIN_TIMEOUT_SECONDS: f64 = 1e-3;
 
@@ -26,9 +23,25 @@
     was_overdue: bool,
     connection_idle_seconds: f64,
     outcome: Outcome,
+    /// Time since it was sent, in seconds.
     latency: f64,
 }
 
+impl EndedAttempt {
+    fn is_served(&self) -> bool {
+        self.outcome == Outcome::Ok
+    }
+
+    /// How the attempt counts for latency; `None` if it says nothing of it.
+    fn latency_sample(&self, result: &AttemptResult) -> Option<LatencySample> {
+        if self.is_served() {
+            Some(LatencySample::Served(self.latency))
+        } else {
+            result.is_abandoned().then_some(LatencySample::Abandoned(self.latency))
+        }
+    }
+}
+
 impl Balancer {
     /// Sends an attempt of a request to the upstream at a position.
     pub(crate) fn send_attempt(&mut self, id: RequestId, position: usize) {
@@ -43,7 +56,8 @@
         let class = &self.settings.classes[request.class];
         let overdue_after = self.latency.class(request.class).overdue_after(class);
         // Where attempts must not be cancelled, one is waited for only as long as its response is of use.
-        let useful_seconds = (request.useful_until - self.now).clamp(MIN_TIMEOUT_SECONDS, MAX_SECONDS);
+        let useful_seconds =
+            (request.useful_until - self.now).clamp(MIN_TIMEOUT_SECONDS, MAX_TIME_LEFT_SECONDS);
         let ends_early = !self.settings.cancellation && request.useful_until < request.deadline;
         let timeout = ends_early.then(|| Duration::from_secs_f64(useful_seconds));
         self.actions.push(Action::SendAttempt { id, upstream: upstream.id, timeout });
@@ -64,7 +78,8 @@
         });
     }
 
-    /// An attempt has ended: its request ends, is retried, or gets its final response.
+    /// An attempt has ended: the balancer learns from it, and its request ends, is retried, or gets its final
+    /// response.
     pub(crate) fn handle_attempt_end(
         &mut self,
         id: RequestId,
@@ -78,13 +93,14 @@
         let Some(attempt) = request.attempt_in_flight(index) else { return };
         attempt.in_flight = false;
         attempt.possibly_executed = !outcome.proves_not_executed();
+        let possibly_executed = attempt.possibly_executed;
         let ended = EndedAttempt {
             upstream: attempt.upstream,
-            class,
-            was_overdue: attempt.overdue,
+            latency: latency.as_secs_f64(),
             connection_idle_seconds: attempt.connection_idle_seconds,
+            class,
             outcome,
-            latency: latency.as_secs_f64(),
+            was_overdue: attempt.overdue,
         };
         let was_finished = request.finished;
         let others_in_flight = request.has_attempt_in_flight();
@@ -92,45 +108,46 @@
         if request_finished {
             self.finish_request(id);
         } else if !was_finished && !others_in_flight {
-            let executed = !outcome.proves_not_executed();
-            let cost = if executed { RETRY_COST } else { RETRY_COST_NOT_EXECUTED };
-            if !self.retry(id, cost) {
-                self.finish_without_response(id);
-            }
+            self.retry_or_finish(id, possibly_executed);
         }
         if was_finished && !others_in_flight {
             self.requests.requests.remove(&id);
         }
     }
 
+    /// Retries a request whose last attempt in flight has ended, or gives it its final response.
+    fn retry_or_finish(&mut self, id: RequestId, possibly_executed: bool) {
+        let cost = if possibly_executed { RETRY_COST } else { RETRY_COST_NOT_EXECUTED };
+        if !self.retry(id, cost) {
+            self.finish_without_response(id);
+        }
+    }
+
     /// Learns from the end of an attempt: capacity, latency, idle connections and outliers.
     fn record_attempt_end(&mut self, ended: &EndedAttempt) {
         let class = &self.settings.classes[ended.class];
-        let latency = self.latency.class_mut(ended.class);
-        let relative_latency = ended.latency / latency.mean().max(1e-6);
-        let served = ended.outcome == Outcome::Ok;
-        if served {
+        let class_latency = self.latency.class_mut(ended.class);
+        // Relative to the mean before this attempt is recorded.
+        let relative_latency = ended.latency / class_latency.mean().max(1e-6);
+        if ended.is_served() {
             self.capacity.record_completion();
-            latency.record_served(ended.latency);
+            class_latency.record_served(ended.latency);
         }
-        let verdict = AttemptVerdict {
+        let objective = class.latency_objective.as_secs_f64();
+        let result = AttemptResult {
             class: ended.class,
             outcome: ended.outcome,
             was_overdue: ended.was_overdue,
-            class_is_fast: is_fast(latency.served_mean(), class.latency_objective.as_secs_f64()),
-        };
-        let sample = if served {
-            Some(LatencySample::Served(ended.latency))
-        } else {
-            verdict.is_abandoned().then_some(LatencySample::Abandoned(ended.latency))
+            class_is_fast: is_fast(class_latency.served_mean(), objective),
         };
+        let sample = ended.latency_sample(&result);
         if let Some(sample) = sample {
-            latency.record(self.now, class, sample);
-            self.idle_connections.record(self.now, ended.connection_idle_seconds, served);
+            class_latency.record(self.now, class, sample);
+            self.idle_connections.record(self.now, ended.connection_idle_seconds, ended.is_served());
         }
         let relative_latency = sample.map(|_| relative_latency);
         let upstream = ended.upstream;
-        self.upstreams.record_attempt_end(self.now, upstream, verdict, relative_latency, &mut self.random);
+        self.upstreams.record_attempt_end(self.now, upstream, result, relative_latency, &mut self.random);
     }
 
     /// Gives a request its final response when no attempt is in flight and none may follow. It is rejected
@@ -140,7 +157,7 @@
         let is_idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
         if is_idempotent || request.attempts.iter().all(|attempt| !attempt.possibly_executed) {
             let seconds_left = (request.deadline - self.now).max(0.0);
-            let time_left = Duration::from_secs_f64(seconds_left.min(MAX_SECONDS));
+            let time_left = Duration::from_secs_f64(seconds_left.min(MAX_TIME_LEFT_SECONDS));
             self.reject(id, time_left, RejectionReason::NoRetry);
         } else {
             self.actions.push(Action::Fail { id });
--- a/crates/core/src/requests/hedging.rs
+++ b/crates/core/src/requests/hedging.rs
@@ -2,9 +2,7 @@
 
 use crate::balancer::Balancer;
 use crate::ids::RequestId;
-
-/// What a hedged request costs of the retry budget.
-const HEDGE_COST: f64 = 1.0;
+use crate::requests::retry::HEDGE_COST;
 
 impl Balancer {
     /// Sends a hedged request for one whose attempt has just become overdue. Only where there is spare
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -3,15 +3,14 @@
 use crate::action::Action;
 use crate::balancer::Balancer;
 use crate::requests::OverdueCheck;
+use crate::requests::retry::RETRY_COST;
 use crate::settings::RetrySafety;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Overdue attempts at an upstream without any response meanwhile that show that it is silent. One or two may
-/// be among the one in twenty that takes long anyway.
+/// Overdue attempts, with no response since they were sent, from which an upstream counts as silent. Fewer
+/// can be normal: one attempt in twenty exceeds the typical latency.
 const SILENT_OVERDUE_ATTEMPTS: u32 = 3;
-/// Budget that a retry in place of a cancelled attempt needs.
-const RETRY_COST: f64 = 1.0;
 /// The shortest time to the next check, in seconds.
 const MIN_CHECK_SECONDS: f64 = 1e-6;
 
@@ -22,7 +21,8 @@
     attempt_count: usize,
     /// It was not overdue before.
     newly_overdue: bool,
-    /// Its upstream has several overdue attempts and has not responded since this one was sent.
+    /// Its upstream has several overdue attempts and has not responded since this one was sent, or is no
+    /// longer known.
     upstream_is_silent: bool,
     /// When it has taken so long that it may be given up for a retry.
     long_overdue_at: Timestamp,
@@ -101,7 +101,8 @@
             && self.retry_budget.covers(RETRY_COST)
     }
 
-    /// Checks an attempt again at the first of its times that lies ahead, if it is before the deadline.
+    /// Checks an attempt again at `long_overdue_at` if that lies ahead, otherwise at `useful_until`; never at
+    /// the deadline or later.
     fn schedule_next_check(&mut self, check: OverdueCheck, attempt: &OverdueAttempt) {
         let times = [attempt.long_overdue_at, attempt.useful_until];
         let next = times.into_iter().find(|time| *time > self.now && *time < attempt.deadline);
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -6,6 +6,12 @@
 use crate::settings::{DeduplicationScope, RetrySafety};
 use crate::upstreams::Upstream;
 
+/// What a retry costs, in retries of the budget.
+pub(super) const RETRY_COST: f64 = 1.0;
+/// What a retry costs where the attempt before it was not executed: it adds no work to the upstreams.
+pub(super) const RETRY_COST_NOT_EXECUTED: f64 = 0.1;
+/// What a hedged request costs.
+pub(super) const HEDGE_COST: f64 = 1.0;
 /// Retries that each admitted request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Seconds of the expected rate whose retries can be saved up. Short, because the savings of all balancers
@@ -32,34 +38,34 @@
 /// The retries and hedged requests that may be sent now.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
-    retries: f64,
-    max_retries: f64,
+    available: f64,
+    capacity: f64,
 }
 
 impl RetryBudget {
     /// The initial budget of a balancer that expects so many requests per second.
     pub(crate) fn new(expected_rate: f64) -> Self {
         let saved = SAVED_SECONDS * RETRIES_PER_REQUEST * expected_rate;
-        Self { retries: MIN_SAVED_RETRIES, max_retries: saved.clamp(MIN_SAVED_RETRIES, MAX_SAVED_RETRIES) }
+        Self { available: MIN_SAVED_RETRIES, capacity: saved.clamp(MIN_SAVED_RETRIES, MAX_SAVED_RETRIES) }
     }
 
     /// Adds what an admitted request earns.
     pub(crate) fn deposit(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(self.max_retries);
+        self.available = (self.available + RETRIES_PER_REQUEST).min(self.capacity);
     }
 
     /// Whether the budget covers a cost.
     pub(crate) fn covers(&self, cost: f64) -> bool {
-        self.retries >= cost
+        self.available >= cost
     }
 
     fn withdraw(&mut self, cost: f64) {
-        self.retries -= cost;
+        self.available -= cost;
     }
 }
 
 impl Balancer {
-    /// Sends another attempt of a request, if the class, the time left and the budget allow one. Returns
+    /// Sends a retry of a request, if the class, the time left and the budget allow one. Returns
     /// whether it was sent.
     pub(crate) fn retry(&mut self, id: RequestId, cost: f64) -> bool {
         let Some(request) = self.requests.requests.get(&id) else { return false };
@@ -82,17 +88,18 @@
             && self.now + MIN_LATENCY_LEFT * mean_latency < request.useful_until
     }
 
-    /// The least loaded of the first upstreams that may take a retry: those in rotation from the present turn
-    /// on, then all others from a random start.
+    /// The least loaded of the first upstreams that may take a retry: the subset from the present turn on,
+    /// then all upstreams from a random start. A member of the subset may count twice towards
+    /// [`MAX_CANDIDATES`].
     fn retry_upstream(&self, request: &Request, start: usize) -> Option<usize> {
         let subset = self.upstreams.subset();
         let count = self.upstreams.len();
         let turn = self.round_robin.position();
-        let in_rotation = (1..=subset.len()).map(|step| subset[(turn + step) % subset.len()]);
-        let all = (0..count).map(|step| (step + start % count) % count);
+        let subset_from_turn = (1..=subset.len()).map(|step| subset[(turn + step) % subset.len()]);
+        let all_from_random_start = (0..count).map(|step| (step + start % count) % count);
         let load = |position: usize| self.retry_load(self.upstreams.at(position));
-        in_rotation
-            .chain(all)
+        subset_from_turn
+            .chain(all_from_random_start)
             .filter(|position| self.may_take_retry(request, self.upstreams.at(*position)))
             .take(MAX_CANDIDATES)
             .min_by(|a, b| load(*a).total_cmp(&load(*b)))
--- a/crates/core/src/round_robin.rs
+++ b/crates/core/src/round_robin.rs
@@ -16,6 +16,24 @@
 /// Rounds after which the search for an upstream with a whole turn ends.
 const MAX_ROUNDS: usize = 8;
 
+/// Which upstreams take requests of a class.
+struct Eligibility {
+    class: usize,
+    /// All upstreams are ejected for the class, so none is excluded.
+    all_are_ejected: bool,
+}
+
+impl Eligibility {
+    fn new(upstreams: &UpstreamSet, class: usize) -> Self {
+        let all_are_ejected = upstreams.ejected_count_in_rotation(class) >= upstreams.subset().len();
+        Self { class, all_are_ejected }
+    }
+
+    fn includes(&self, upstreams: &UpstreamSet, position: usize) -> bool {
+        self.all_are_ejected || !upstreams.at(position).outlier.is_ejected_for(self.class)
+    }
+}
+
 /// The position in the rotation, and the turns that come next.
 #[derive(Default)]
 pub(crate) struct RoundRobin {
@@ -41,35 +59,30 @@
     pub(crate) fn drop_unusable_turns(&mut self, upstreams: &UpstreamSet) {
         self.look_ahead.retain(|position| {
             let upstream = upstreams.at(*position);
-            upstream.rotation.weight > 0.0 && upstream.is_ready()
+            upstream.rotation.takes_turns() && upstream.is_ready()
         });
     }
 
     /// The upstream that takes the next request of a class: the first in turn that does not hold clearly more
-    /// than the least loaded one in the look-ahead. Upstreams that are ejected for the class keep their turns
-    /// for other classes.
+    /// than the least loaded one in the look-ahead, by the loads at `load_time`. Turns skipped because of
+    /// load are lost; upstreams that are ejected for the class keep their turns for other classes.
     pub(crate) fn next_upstream(
         &mut self,
         upstreams: &mut UpstreamSet,
         class: usize,
-        now: Timestamp,
+        load_time: Timestamp,
     ) -> Option<usize> {
-        let all_are_ejected = upstreams.ejected_count(class) >= upstreams.subset().len();
-        self.fill_look_ahead(upstreams, class, all_are_ejected);
-        let upstreams = &*upstreams;
-        let is_eligible =
-            |position: usize| all_are_ejected || !upstreams.at(position).outlier.is_ejected_for(class);
-        let eligible = self.look_ahead.iter().copied().filter(|position| is_eligible(*position));
-        let loads = eligible.take(LOOK_AHEAD).map(|position| upstreams.at(position).estimated_load(now));
-        let least_load = loads.fold(f64::INFINITY, f64::min);
+        let eligibility = Eligibility::new(upstreams, class);
+        self.fill_look_ahead(upstreams, &eligibility);
+        let least_load = self.least_load(upstreams, &eligibility, load_time);
         let mut index = 0;
         while let Some(&position) = self.look_ahead.get(index) {
-            if !is_eligible(position) {
+            if !eligibility.includes(upstreams, position) {
                 index += 1;
                 continue;
             }
             self.look_ahead.remove(index);
-            let load = upstreams.at(position).estimated_load(now);
+            let load = upstreams.at(position).estimated_load(load_time);
             if load <= least_load * SKIP_LOAD_RATIO + SKIP_LOAD_MARGIN {
                 return Some(position);
             }
@@ -78,23 +91,31 @@
     }
 
     /// Advances until the look-ahead holds enough upstreams that take requests of the class.
-    fn fill_look_ahead(&mut self, upstreams: &mut UpstreamSet, class: usize, all_are_ejected: bool) {
-        let is_eligible = |upstreams: &UpstreamSet, position: usize| {
-            all_are_ejected || !upstreams.at(position).outlier.is_ejected_for(class)
-        };
+    fn fill_look_ahead(&mut self, upstreams: &mut UpstreamSet, eligibility: &Eligibility) {
         let max_length = LOOK_AHEAD + upstreams.subset().len();
-        let held = self.look_ahead.iter().filter(|position| is_eligible(upstreams, **position));
-        let mut eligible_count = held.count();
+        let positions = self.look_ahead.iter();
+        let mut eligible_count =
+            positions.filter(|position| eligibility.includes(upstreams, **position)).count();
         while eligible_count < LOOK_AHEAD && self.look_ahead.len() < max_length {
             let Some(position) = self.advance(upstreams) else { break };
             self.look_ahead.push_back(position);
-            eligible_count += usize::from(is_eligible(upstreams, position));
+            eligible_count += usize::from(eligibility.includes(upstreams, position));
         }
+        // Full, usually of ineligible turns: the oldest is dropped so that the next call can advance.
         if self.look_ahead.len() >= max_length {
             self.look_ahead.pop_front();
         }
     }
 
+    /// The least load of the upstreams in the look-ahead that take requests of the class.
+    fn least_load(&self, upstreams: &UpstreamSet, eligibility: &Eligibility, load_time: Timestamp) -> f64 {
+        let positions = self.look_ahead.iter().copied();
+        let eligible = positions.filter(|position| eligibility.includes(upstreams, *position));
+        let loads =
+            eligible.take(LOOK_AHEAD).map(|position| upstreams.at(position).estimated_load(load_time));
+        loads.fold(f64::INFINITY, f64::min)
+    }
+
     /// The next upstream in the rotation that has accumulated a whole turn. An upstream in slow start must
     /// also have budget for a request.
     fn advance(&mut self, upstreams: &mut UpstreamSet) -> Option<usize> {
@@ -104,7 +125,7 @@
             let position = upstreams.subset()[self.position];
             let upstream = upstreams.at_mut(position);
             let rotation = &mut upstream.rotation;
-            if rotation.weight <= 0.0 {
+            if !rotation.takes_turns() {
                 continue;
             }
             rotation.turn_credit = (rotation.turn_credit + rotation.weight).min(MAX_TURN_CREDIT);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -36,15 +36,18 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time earns the full priority weight.
+    /// A response within this time earns the full priority weight. Below 50 ms (two ticks) a balancer panics
+    /// when it records an attempt of the class; this is not validated yet.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of the request's own work, where the work is known.
+    /// The latency objective grows by this multiple of the request's own work. The present decisions only ask
+    /// whether it is positive: a response is then of use until the deadline.
     pub latency_objective_stretch: f64,
-    /// The longest that a client waits.
+    /// The longest that a client waits. Not used by the present decisions.
     pub deadline: Duration,
-    /// The value of one response in time.
+    /// The value of one response in time. Not used by the present decisions.
     pub priority_weight: f64,
-    /// The share of the priority weight that a response after the latency objective still earns.
+    /// The share of the priority weight that a response after the latency objective still earns. The present
+    /// decisions only ask whether it is positive.
     pub late_priority_weight: f64,
     /// Whether a request may be executed more than once.
     pub retry_safety: RetrySafety,
@@ -115,7 +118,8 @@
     Other,
 }
 
-/// What actions cost, in units of the priority weight of an average request.
+/// What actions cost, in units of the priority weight of an average request. The present decisions use
+/// `cross_zone` only.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// An attempt in another zone.
@@ -147,11 +151,10 @@
     pub tenants: Vec<Tenant>,
     /// The share of its class's priority weight that a request over its tenant's quota earns.
     pub over_quota_weight: f64,
-    /// The priority weight of a request is proportional to its work.
+    /// The priority weight of a request is proportional to its work. Not used by the present decisions.
     pub weight_by_work: bool,
-    /// The balancer has to poll for the endpoint list, by
-    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) and
-    /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
+    /// The balancer begins each watch of the endpoint list itself, by
+    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints), and begins another when one has failed.
     pub poll_endpoints: bool,
     /// A balancer that has not polled for this long counts as notified of all changes until then.
     pub poll_interval: Duration,
@@ -169,24 +172,25 @@
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Health checks may be sent.
+    /// Health checks may be sent. Not used by the present decisions.
     pub health_checks: bool,
     /// The longest Retry-After that clients respect.
     pub max_retry_after: Duration,
     /// An attempt to connect that takes longer counts as failed.
     pub connect_timeout: Duration,
-    /// Upstreams close a connection that has been idle for this long.
+    /// Upstreams close a connection that has been idle for this long. Not used by the present decisions.
     pub connection_idle_timeout: Duration,
-    /// Attempts that one connection carries at once.
+    /// Attempts that one connection carries at once. Not used by the present decisions.
     pub max_streams: u32,
     /// The share of requests of a class that may miss the latency objective, where the goal values the
-    /// slowest responses.
+    /// slowest responses. Not used by the present decisions.
     pub tolerated_miss_ratio: Option<f64>,
-    /// CPU time that a request and its attempts may cost; zero for no limit.
+    /// CPU time that a request and its attempts may cost; zero for no limit. Not used by the present
+    /// decisions.
     pub cpu_per_request: Duration,
     /// What the weights in the endpoint list mean.
     pub weight_kind: WeightKind,
-    /// How upstreams report their load.
+    /// How upstreams report their load. Not used by the present decisions.
     pub load_reporting: LoadReporting,
     /// The values of a load report, in order.
     pub load_report_fields: Vec<LoadField>,
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -9,7 +9,8 @@
 pub(crate) struct Timestamp(f64);
 
 impl Timestamp {
-    /// The start of the clock, which is also the value of times that have never been set.
+    /// The start of the clock. The default of times that have never been set; where "never" must count as
+    /// infinitely long ago, they are [`Timestamp::DISTANT_PAST`].
     pub(crate) const ZERO: Self = Self(0.0);
     /// Before every other point.
     pub(crate) const DISTANT_PAST: Self = Self(f64::NEG_INFINITY);
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -1,6 +1,7 @@
 //! The token bucket of one tenant.
 //!
-//! In the terms of the design: `tokens` is mu_i, `arrivals` V_i, `guaranteed_rate` u_g_i and `size` T_i.
+//! In the notation of the paper that the design follows (Dynamic Admission Control for Improving Utilization
+//! of Parlay X Gateway): `tokens` is mu_i, `arrivals` V_i, `guaranteed_rate` u_g_i and `size` T_i.
 
 /// Seconds of a tenant's own demand that its bucket can hold.
 const DEMAND_SECONDS: f64 = 0.2;
--- a/crates/core/src/upstreams/load_reports.rs
+++ b/crates/core/src/upstreams/load_reports.rs
@@ -98,7 +98,7 @@
 ) -> Option<f64> {
     let mut count = 0.0;
     let mut sum = 0.0;
-    for upstream in upstreams.filter(|upstream| upstream.rotation.weight > 0.0) {
+    for upstream in upstreams.filter(|upstream| upstream.rotation.takes_turns()) {
         if let Some(utilization) = upstream.reported_load.valid_utilization(now) {
             count += 1.0;
             sum += utilization;
--- a/crates/core/src/upstreams/mod.rs
+++ b/crates/core/src/upstreams/mod.rs
@@ -9,7 +9,7 @@
 mod weights;
 
 pub(crate) use load_reports::mean_utilization;
-pub(crate) use outlier_detection::{AttemptVerdict, is_fast};
+pub(crate) use outlier_detection::{AttemptResult, is_fast};
 pub(crate) use set::UpstreamSet;
 pub(crate) use upstream::Upstream;
 pub(crate) use weights::WeightInputs;
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -5,19 +5,19 @@
 use crate::random::Random;
 use crate::time::Timestamp;
 use crate::upstreams::UpstreamSet;
-use crate::upstreams::upstream::OVERDUE_ATTEMPT_LOAD;
+use crate::upstreams::upstream::OVERDUE_ATTEMPT_EXTRA_LOAD;
 
 /// Consecutive failures after which an upstream is ejected for the class that met them, or for all classes
-/// where none was served meanwhile. Few, because what each balancer sends to find a stuck upstream out keeps
-/// it stuck.
+/// where none was served meanwhile. Low, because the failed attempts of every balancer add to the queue of a
+/// stuck upstream.
 const FAILURES_TO_EJECT: u32 = 2;
 /// One failure is enough where the upstream has served no request of the class for this long ...
 const UNRESPONSIVE_SECONDS: f64 = 3.0;
 /// ... while the class is served within this share of its latency objective elsewhere. Not so under overload,
 /// when all upstreams are slow and ejecting some makes it worse.
 const FAST_SHARE_OF_OBJECTIVE: f64 = 0.5;
-/// Broken connections in a row after which an upstream counts as unreachable. A process that dies breaks all
-/// that it has, while three in a row are common every few seconds where one in ten breaks.
+/// Consecutive connection resets after which an upstream counts as unreachable. Where one connection in ten
+/// breaks, three in a row occur every few seconds, hence [`MIN_UNREACHABLE_SECONDS`] as well.
 const RESETS_TO_EJECT: u32 = 3;
 /// What a connection that is not established counts for in broken ones.
 const RESETS_PER_FAILED_CONNECT: u32 = 2;
@@ -97,7 +97,8 @@
         self.last_response_at
     }
 
-    /// The upstream has restarted: what its former process did no longer counts.
+    /// Clears ejections and failures after a restart. The count of resets and the time of the last response
+    /// stay.
     pub(crate) fn reset(&mut self) {
         self.ejections = 0;
         self.ejected_until = Timestamp::ZERO;
@@ -177,9 +178,9 @@
     }
 }
 
-/// How an attempt ended, as far as outlier detection goes.
+/// The result of an attempt, as far as outlier detection needs it.
 #[derive(Clone, Copy)]
-pub(crate) struct AttemptVerdict {
+pub(crate) struct AttemptResult {
     pub(crate) class: usize,
     pub(crate) outcome: Outcome,
     /// It was overdue.
@@ -188,7 +189,7 @@
     pub(crate) class_is_fast: bool,
 }
 
-impl AttemptVerdict {
+impl AttemptResult {
     /// Whether the attempt was given up as overdue.
     pub(crate) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
@@ -209,25 +210,25 @@
         &mut self,
         now: Timestamp,
         position: usize,
-        attempt: AttemptVerdict,
+        result: AttemptResult,
         random: &mut Random,
     ) {
-        let class = attempt.class;
+        let class = result.class;
         let upstream = &mut self.upstreams[position];
-        if attempt.outcome == Outcome::Ok && upstream.outlier.record_success(now, class, attempt.was_overdue)
-        {
+        if result.outcome == Outcome::Ok && upstream.outlier.record_success(now, class, result.was_overdue) {
             self.probe_schedules[class].record_success(now);
         }
-        upstream.outlier.record_reachability(now, attempt.outcome);
-        let is_broken = matches!(attempt.outcome, Outcome::ConnectFailed | Outcome::Reset);
+        upstream.outlier.record_reachability(now, result.outcome);
+        let is_broken = matches!(result.outcome, Outcome::ConnectFailed | Outcome::Reset);
         if is_broken && upstream.outlier.is_unreachable(now) && !upstream.outlier.is_ejected(now) {
             self.eject_for_all_classes(now, position, random);
         }
-        self.count_failures(now, position, attempt);
-        self.eject_for_failed_classes(now, position, attempt, random);
-        // Where the fault is the upstream's own, it says nothing of the capacity elsewhere.
+        self.count_failures(now, position, result);
+        self.eject_for_failed_classes(now, position, result, random);
+        // Once the upstream is ejected for the class, its abandoned attempts do not reduce the spare
+        // capacity.
         let upstream = &mut self.upstreams[position];
-        if attempt.is_abandoned() && !upstream.outlier.is_ejected_for(class) {
+        if result.is_abandoned() && !upstream.outlier.is_ejected_for(class) {
             upstream.abandoned_attempts += 1.0;
         }
     }
@@ -243,16 +244,16 @@
         self.request_selection(now);
     }
 
-    fn count_failures(&mut self, now: Timestamp, position: usize, attempt: AttemptVerdict) {
+    fn count_failures(&mut self, now: Timestamp, position: usize, result: AttemptResult) {
         let upstream = &mut self.upstreams[position];
-        if attempt.outcome == Outcome::Rejected {
-            // Whatever makes it reject requests of a class, it would look the least loaded otherwise.
-            upstream.reported_load.raise_in_flight(now, 2.0 * OVERDUE_ATTEMPT_LOAD);
+        if result.outcome == Outcome::Rejected {
+            // Rejections are fast: the upstream would otherwise look idle and attract more requests.
+            upstream.reported_load.raise_in_flight(now, 2.0 * OVERDUE_ATTEMPT_EXTRA_LOAD);
         }
-        if attempt.is_class_failure() {
-            upstream.outlier.classes[attempt.class].consecutive_failures += 1;
+        if result.is_class_failure() {
+            upstream.outlier.classes[result.class].consecutive_failures += 1;
         }
-        if attempt.is_upstream_failure() {
+        if result.is_upstream_failure() {
             upstream.outlier.consecutive_failures += 1;
         }
     }
@@ -261,19 +262,18 @@
         &mut self,
         now: Timestamp,
         position: usize,
-        attempt: AttemptVerdict,
+        result: AttemptResult,
         random: &mut Random,
     ) {
         let outlier = &self.upstreams[position].outlier;
-        let class_state = &outlier.classes[attempt.class];
-        let is_unresponsive =
-            now - class_state.last_served_at > UNRESPONSIVE_SECONDS && attempt.class_is_fast;
+        let class_state = &outlier.classes[result.class];
+        let is_unresponsive = now - class_state.last_served_at > UNRESPONSIVE_SECONDS && result.class_is_fast;
         let failures = class_state.consecutive_failures;
         let class_failed = failures >= FAILURES_TO_EJECT
-            || (is_unresponsive && failures > 0 && attempt.outcome != Outcome::Error);
+            || (is_unresponsive && failures > 0 && result.outcome != Outcome::Error);
         let all_failed = outlier.consecutive_failures >= FAILURES_TO_EJECT;
         for class in 0..outlier.classes.len() {
-            if all_failed || (class_failed && class == attempt.class) {
+            if all_failed || (class_failed && class == result.class) {
                 self.eject_for_class(now, position, class, random);
             }
         }
@@ -282,7 +282,7 @@
     /// Ejects an upstream for a class, unless too many are ejected.
     fn eject_for_class(&mut self, now: Timestamp, position: usize, class: usize, random: &mut Random) {
         let already_ejected =
-            self.in_rotation().filter(|upstream| upstream.outlier.is_ejected_for(class)).count();
+            self.subset_members().filter(|upstream| upstream.outlier.is_ejected_for(class)).count();
         let ejected = (already_ejected + 1) as f64;
         let max_ejected = MAX_EJECTED_SHARE * self.subset.len() as f64;
         let state = &mut self.upstreams[position].outlier.classes[class];
@@ -296,7 +296,7 @@
     }
 
     /// How many upstreams in rotation are ejected for a class.
-    pub(crate) fn ejected_count(&self, class: usize) -> usize {
+    pub(crate) fn ejected_count_in_rotation(&self, class: usize) -> usize {
         self.subset.iter().filter(|position| self.is_ejected_in_rotation(**position, class)).count()
     }
 
@@ -327,6 +327,6 @@
 
     fn is_ejected_in_rotation(&self, position: usize, class: usize) -> bool {
         let upstream = &self.upstreams[position];
-        upstream.outlier.is_ejected_for(class) && upstream.rotation.weight > 0.0
+        upstream.outlier.is_ejected_for(class) && upstream.rotation.takes_turns()
     }
 }
--- a/crates/core/src/upstreams/set.rs
+++ b/crates/core/src/upstreams/set.rs
@@ -1,4 +1,4 @@
-//! The set of all listed upstreams, and updates of the endpoint list.
+//! The set of all upstreams, and updates of the endpoint list.
 
 use crate::event::{Availability, EndpointEntry, UpdateScope};
 use crate::ids::UpstreamId;
@@ -9,21 +9,22 @@
 use crate::upstreams::outlier_detection::ProbeSchedule;
 use crate::upstreams::slow_start::SlowStart;
 use crate::upstreams::subset::min_subset_size;
-use crate::upstreams::{AttemptVerdict, Upstream};
+use crate::upstreams::{AttemptResult, Upstream};
 use rustc_hash::FxHashMap;
 
 /// The weight of an upstream whose listed weight is not positive and finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// One part of so many of the upstreams may be gone before they are dropped.
+/// Gone upstreams are dropped once they exceed one part in so many of the set.
 const MAX_GONE_DIVISOR: usize = 4;
 
-/// All listed upstreams, and the subset of them that takes requests.
+/// The listed upstreams, the removed ones whose state has not been dropped yet, and the subset that takes
+/// requests.
 #[derive(Default)]
 pub(crate) struct UpstreamSet {
     pub(super) upstreams: Vec<Upstream>,
     /// Positions in `upstreams`.
     positions: FxHashMap<UpstreamId, usize>,
-    /// Positions of the upstreams in rotation, in this balancer's own order.
+    /// Positions of the members of the subset, in this balancer's own order.
     pub(super) subset: Vec<usize>,
     pub(super) min_subset_size: usize,
     /// When the subset has to be selected again.
@@ -47,7 +48,7 @@
         self.upstreams.len() + self.positions.len()
     }
 
-    /// Number of listed upstreams.
+    /// Number of upstreams in the set.
     pub(crate) fn len(&self) -> usize {
         self.upstreams.len()
     }
@@ -68,13 +69,13 @@
         Some(&mut self.upstreams[position])
     }
 
-    /// Positions of the upstreams in rotation.
+    /// Positions of the members of the subset, in the order of the rotation.
     pub(crate) fn subset(&self) -> &[usize] {
         &self.subset
     }
 
-    /// The upstreams in rotation.
-    pub(crate) fn in_rotation(&self) -> impl Iterator<Item = &Upstream> {
+    /// The members of the subset.
+    pub(crate) fn subset_members(&self) -> impl Iterator<Item = &Upstream> {
         self.subset.iter().map(|position| &self.upstreams[*position])
     }
 
@@ -108,7 +109,7 @@
         &mut self,
         now: Timestamp,
         id: UpstreamId,
-        attempt: AttemptVerdict,
+        result: AttemptResult,
         relative_latency: Option<f64>,
         random: &mut Random,
     ) {
@@ -116,13 +117,13 @@
         let upstream = &mut self.upstreams[position];
         upstream.last_used_at = now;
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
-        if attempt.was_overdue {
+        if result.was_overdue {
             upstream.overdue_attempts = upstream.overdue_attempts.saturating_sub(1);
         }
         if let Some(ratio) = relative_latency {
             upstream.relative_latency.record(ratio);
         }
-        self.detect_outlier(now, position, attempt, random);
+        self.detect_outlier(now, position, result, random);
     }
 
     /// Applies an update of the endpoint list. Returns whether the subset has to be selected again.
@@ -165,7 +166,8 @@
         }
         let mut started_at = entry.started_at.map(Timestamp::from_duration);
         if started_at.is_none() && !is_first_list {
-            // An upstream that was not listed before has just started, whatever the list says.
+            // An upstream that appears after the first list without a start time is assumed to have just
+            // started.
             started_at = Some(now);
         }
         let slow_start = SlowStart::new(started_at, random.fraction());
@@ -178,7 +180,8 @@
     }
 
     /// Drops the upstreams that are gone, when others were added or many are gone: otherwise the state of a
-    /// balancer would grow as long as upstreams are replaced. Returns whether positions have changed.
+    /// balancer would grow as long as upstreams are replaced. Returns whether any may have been dropped;
+    /// positions may then have changed.
     fn drop_gone_upstreams(&mut self, has_grown: bool) -> bool {
         let gone_count = self.upstreams.iter().filter(|upstream| upstream.is_gone()).count();
         if !has_grown && gone_count <= self.upstreams.len() / MAX_GONE_DIVISOR {
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -3,8 +3,8 @@
 use crate::settings::Settings;
 use crate::time::Timestamp;
 
-/// Share of the load that would overload an upstream in slow start that it gets.
-const SHARE_OF_OVERLOAD: f64 = 0.4;
+/// The rate of requests granted in slow start, as a share of the rate that would overload the upstream.
+const BUDGET_SHARE_OF_OVERLOAD: f64 = 0.4;
 /// How fast the capacity of an upstream in slow start follows its reported utilization, per second. Reports
 /// are a second or two old.
 const CAPACITY_FOLLOW_RATE: f64 = 0.8;
@@ -15,7 +15,8 @@
 pub(crate) struct SlowStart {
     /// When warming up began; `None` once the upstream has warmed up.
     started_at: Option<Timestamp>,
-    /// How much more than stated the upstream can do while it warms up, by its reported utilization.
+    /// Factor on the stated capacity while the upstream warms up, learned from its reported utilization; may
+    /// be below 1.
     capacity_scale: f64,
     /// Requests that the upstream may get now. Caps the requests by elapsed time, not only by turns in the
     /// rotation.
@@ -39,12 +40,13 @@
         self.budget = budget;
     }
 
-    /// Whether the upstream is warming up.
+    /// Whether the upstream counts as warming up. Updated only while it is in the subset.
     pub(crate) fn is_active(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Whether a start at this time is not known yet and recent enough to need slow start.
+    /// Whether a reported start is recent and later than the start in effect. The latter may be the end of an
+    /// ejection, so that a restart during an ejection is not recognized.
     pub(crate) fn is_new_start(&self, started_at: Timestamp, now: Timestamp, settings: &Settings) -> bool {
         let is_recent = now - started_at < settings.slow_start_duration.as_secs_f64();
         is_recent && self.started_at.is_none_or(|known| started_at > known)
@@ -56,7 +58,7 @@
         &mut self,
         elapsed: f64,
         reported: Option<f64>,
-        usual: f64,
+        mean_utilization: f64,
         settings: &Settings,
     ) {
         if !self.is_active() {
@@ -66,7 +68,7 @@
         let Some(utilization) = reported else { return };
         // Not beyond the factor at which it is overloaded: it may be able to do no more than what is stated.
         let max_scale = settings.overload_factor.max(1.0);
-        let spare = (usual - utilization) / usual;
+        let spare = (mean_utilization - utilization) / mean_utilization;
         let scale = self.capacity_scale * (CAPACITY_FOLLOW_RATE * elapsed * spare).exp();
         self.capacity_scale = scale.clamp(1.0 / max_scale, max_scale);
     }
@@ -84,7 +86,7 @@
         progress
     }
 
-    /// How much more than stated the upstream can do.
+    /// Factor on the stated capacity; may be below 1.
     pub(crate) fn capacity_scale(&self) -> f64 {
         self.capacity_scale
     }
@@ -93,7 +95,7 @@
     /// gets `warm_rate` requests per second.
     pub(crate) fn refill_budget(&mut self, elapsed: f64, warm_rate: f64, weight: f64, settings: &Settings) {
         if self.is_active() {
-            let rate_factor = SHARE_OF_OVERLOAD * settings.overload_factor;
+            let rate_factor = BUDGET_SHARE_OF_OVERLOAD * settings.overload_factor;
             self.budget = (self.budget + elapsed * warm_rate * rate_factor * weight).min(MAX_BUDGET);
         }
     }
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -16,14 +16,21 @@
 const MIN_SUBSET_SIZE: f64 = 2.0;
 /// The largest number of upstreams that the expected rate asks for.
 const MAX_SUBSET_SIZE: f64 = 1e6;
-/// The number of subsets that each upstream is in at least.
-const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
+/// The number of subsets that each upstream is in on average, rounded down.
+const TARGET_SUBSETS_PER_UPSTREAM: usize = 4;
 
 /// The least number of upstreams in the subset of a balancer that expects so many requests per second.
 pub(crate) fn min_subset_size(expected_rate: f64) -> usize {
     (UPSTREAMS_PER_REQUEST_RATE * expected_rate).clamp(MIN_SUBSET_SIZE, MAX_SUBSET_SIZE) as usize
 }
 
+/// A subset that would hold this part of the upstreams, or more, holds all of them: it would reduce the
+/// choice and save little.
+const FULL_SET_NUMERATOR: usize = 4;
+const FULL_SET_DENOMINATOR: usize = 5;
+/// Moves the round to the upper bits of the key that upstreams are sorted by.
+const ROUND_KEY_SHIFT: u32 = 48;
+
 /// Which part of the shared order a balancer takes.
 struct SubsetPlan {
     /// Number of upstreams in the subset.
@@ -39,13 +46,12 @@
 impl SubsetPlan {
     fn new(ready_count: usize, min_size: usize, settings: &Settings) -> Self {
         let balancers = (settings.balancers as usize).max(1);
-        let size = min_size.max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancers);
+        let size = min_size.max(TARGET_SUBSETS_PER_UPSTREAM * ready_count / balancers);
         let parts = (ready_count / size.max(1)).max(1);
         let index = settings.index as usize;
         Self {
             size,
-            // A subset of four fifths or more would reduce the choice and save little.
-            takes_all: size * 5 >= ready_count * 4,
+            takes_all: size * FULL_SET_DENOMINATOR >= ready_count * FULL_SET_NUMERATOR,
             round: (index / parts) as u64,
             offset: index % parts * size,
         }
@@ -54,7 +60,7 @@
 
 impl UpstreamSet {
     /// Selects the upstreams that take requests. Members stay where possible, so that connections stay warm;
-    /// ejected members are replaced by the next in the order.
+    /// unless all are taken, ejected members are replaced by the next in the order.
     pub(crate) fn select_subset(
         &mut self,
         now: Timestamp,
@@ -69,10 +75,10 @@
         }
         self.next_selection_at = self.end_of_next_ejection(now);
         let order = self.selection_order(&plan);
-        let mut member_count = self.keep_members(now, &plan, &order);
-        self.add_members(now, &plan, &order, &mut member_count);
+        let kept_count = self.keep_members(now, &plan, &order);
+        let member_count = self.add_members(now, &plan, &order, kept_count);
         if !plan.takes_all {
-            self.remove_members(&plan, &order, &mut member_count, actions);
+            self.remove_members(&plan, &order, member_count, actions);
         }
         self.subset = order;
         let upstreams = &self.upstreams;
@@ -92,7 +98,7 @@
         let mut order: Vec<usize> =
             (0..self.upstreams.len()).filter(|position| self.upstreams[*position].is_ready()).collect();
         if !plan.takes_all {
-            let round_key = plan.round << 48;
+            let round_key = plan.round << ROUND_KEY_SHIFT;
             order.sort_by_cached_key(|position| {
                 Random::with_seed(self.upstreams[*position].id.0 ^ round_key).any_u64()
             });
@@ -117,28 +123,38 @@
         member_count
     }
 
-    fn add_members(&mut self, now: Timestamp, plan: &SubsetPlan, order: &[usize], member_count: &mut usize) {
+    /// Adds the next upstreams in the order until the subset is full. Returns the number of members.
+    fn add_members(
+        &mut self,
+        now: Timestamp,
+        plan: &SubsetPlan,
+        order: &[usize],
+        kept_count: usize,
+    ) -> usize {
+        let mut member_count = kept_count;
         for position in order {
             let upstream = &mut self.upstreams[*position];
-            if *member_count < plan.size && !upstream.in_subset && !upstream.outlier.is_ejected(now) {
+            if member_count < plan.size && !upstream.in_subset && !upstream.outlier.is_ejected(now) {
                 upstream.in_subset = true;
-                *member_count += 1;
+                member_count += 1;
             }
         }
+        member_count
     }
 
+    /// Removes the last members in the order until the subset has its size.
     fn remove_members(
         &mut self,
         plan: &SubsetPlan,
         order: &[usize],
-        member_count: &mut usize,
+        mut member_count: usize,
         actions: &mut Vec<Action>,
     ) {
         for position in order.iter().rev() {
             let upstream = &mut self.upstreams[*position];
-            if *member_count > plan.size && upstream.in_subset {
+            if member_count > plan.size && upstream.in_subset {
                 upstream.in_subset = false;
-                *member_count -= 1;
+                member_count -= 1;
                 actions.push(Action::CloseIdleConnections { upstream: upstream.id });
             }
         }
--- a/crates/core/src/upstreams/upstream.rs
+++ b/crates/core/src/upstreams/upstream.rs
@@ -8,8 +8,8 @@
 use crate::upstreams::slow_start::SlowStart;
 use crate::upstreams::weights::{RelativeLatency, Rotation};
 
-/// What an overdue attempt counts for in requests in flight: its upstream is stuck or silent.
-pub(crate) const OVERDUE_ATTEMPT_LOAD: f64 = 4.0;
+/// Load that an overdue attempt adds to the one request that it already counts as: its upstream may be stuck.
+pub(crate) const OVERDUE_ATTEMPT_EXTRA_LOAD: f64 = 4.0;
 
 /// One upstream and the states that the modules beside this one own.
 pub(crate) struct Upstream {
@@ -24,7 +24,7 @@
     /// Those of them that are overdue.
     pub(crate) overdue_attempts: u32,
     /// Attempts given up that the upstream may still be executing, decaying over the shortest latency
-    /// objective.
+    /// objective while it is in the subset.
     pub(crate) abandoned_attempts: f64,
     /// When an attempt was last sent to it or ended.
     pub(crate) last_used_at: Timestamp,
@@ -72,10 +72,9 @@
         self.availability == Availability::Removed && self.in_flight == 0
     }
 
-    /// Requests that it holds for its present capacity: this balancer's own and, decaying with age, reported
-    /// ones.
+    /// Estimated requests in flight, this balancer's own and reported ones, divided by its present capacity.
     pub(crate) fn estimated_load(&self, now: Timestamp) -> f64 {
-        let own = f64::from(self.in_flight) + OVERDUE_ATTEMPT_LOAD * f64::from(self.overdue_attempts);
+        let own = f64::from(self.in_flight) + OVERDUE_ATTEMPT_EXTRA_LOAD * f64::from(self.overdue_attempts);
         let reported = self.reported_load.decayed_in_flight(now);
         (own + self.abandoned_attempts + reported) / self.rotation.capacity
     }
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -14,7 +14,7 @@
 /// Samples at the usual latency that the relative latency starts from.
 const PRIOR_SAMPLES: f64 = 4.0;
 /// The largest relative latency that one sample counts.
-const MAX_SAMPLE: f64 = 5.0;
+const MAX_RELATIVE_LATENCY_SAMPLE: f64 = 5.0;
 /// The least relative latency that changes the capacity.
 const MIN_RELATIVE_LATENCY: f64 = 0.25;
 /// The largest relative latency that changes the capacity.
@@ -32,6 +32,13 @@
     pub(crate) turn_credit: f64,
 }
 
+impl Rotation {
+    /// Whether it gets turns.
+    pub(crate) fn takes_turns(&self) -> bool {
+        self.weight > 0.0
+    }
+}
+
 impl Default for Rotation {
     /// No turns yet.
     fn default() -> Self {
@@ -50,7 +57,7 @@
 impl RelativeLatency {
     /// Records the latency of one attempt in relation to the mean of its class.
     pub(crate) fn record(&mut self, ratio: f64) {
-        let ratio = ratio.min(MAX_SAMPLE);
+        let ratio = ratio.min(MAX_RELATIVE_LATENCY_SAMPLE);
         self.samples += 1.0;
         self.mean += (ratio - self.mean) / self.samples.max(1.0);
     }
@@ -67,26 +74,28 @@
     /// Seconds since the weights were last updated by a tick.
     pub(crate) elapsed: f64,
     pub(crate) settings: &'a Settings,
-    /// C for each unit of weight, in requests per second.
+    /// Completion rate per unit of rotation weight, in requests per second.
     pub(crate) rate: f64,
     /// Requests per second that the quotas let this balancer expect.
     pub(crate) expected_rate: f64,
 }
 
 /// What the weight of one upstream depends on in the others.
-struct FleetView {
+struct SubsetSummary {
     largest_size: f64,
     /// So many upstreams are ejected that those ejected entirely take requests again.
     ignores_ejections: bool,
     /// An upstream of this balancer's zone takes requests.
     own_zone_is_usable: bool,
-    usual_utilization: f64,
+    /// Mean of the reported utilizations; 1 where none is reported.
+    mean_utilization: f64,
 }
 
 impl UpstreamSet {
-    /// Updates the weight of each upstream in rotation, and the budgets of those in slow start.
+    /// For each member of the subset, lets the statistics decay, follows the reported utilization and updates
+    /// capacity and weight; then refills the budgets of those in slow start.
     pub(crate) fn update_weights(&mut self, inputs: &WeightInputs<'_>) {
-        let view = self.view(inputs);
+        let summary = self.summarize(inputs);
         let sample_decay = (-inputs.elapsed / SAMPLE_DECAY_SECONDS).exp();
         let abandoned_decay = (-inputs.elapsed / shortest_latency_objective(inputs.settings)).exp();
         for position in &self.subset {
@@ -95,28 +104,28 @@
             upstream.slow_start.follow_utilization(
                 inputs.elapsed,
                 utilization,
-                view.usual_utilization,
+                summary.mean_utilization,
                 inputs.settings,
             );
-            upstream.relative_latency.samples *= sample_decay;
-            upstream.abandoned_attempts *= abandoned_decay;
-            upstream.update_weight(inputs, &view);
+            upstream.decay_statistics(sample_decay, abandoned_decay);
+            upstream.update_weight(inputs, &summary);
         }
         self.refill_slow_start_budgets(inputs);
     }
 
-    fn view(&self, inputs: &WeightInputs<'_>) -> FleetView {
+    fn summarize(&self, inputs: &WeightInputs<'_>) -> SubsetSummary {
         let now = inputs.now;
-        let ready = || self.in_rotation().filter(|upstream| upstream.is_ready());
+        let ready = || self.subset_members().filter(|upstream| upstream.is_ready());
         let ejected = ready().filter(|upstream| upstream.outlier.is_ejected(now)).count() as f64;
         let max_ejected = MAX_EJECTED_SHARE * ready().count() as f64;
-        let usual_utilization = mean_utilization(self.in_rotation(), now);
-        FleetView {
-            largest_size: self.in_rotation().map(|upstream| upstream.size).fold(1e-9, f64::max),
+        let reported_utilization = mean_utilization(self.subset_members(), now);
+        SubsetSummary {
+            largest_size: self.subset_members().map(|upstream| upstream.size).fold(1e-9, f64::max),
             ignores_ejections: ejected > max_ejected,
             own_zone_is_usable: ready()
                 .any(|upstream| upstream.zone == inputs.settings.zone && !upstream.outlier.is_ejected(now)),
-            usual_utilization: usual_utilization.map_or(1.0, |utilization| utilization.max(MIN_UTILIZATION)),
+            mean_utilization: reported_utilization
+                .map_or(1.0, |utilization| utilization.max(MIN_UTILIZATION)),
         }
     }
 
@@ -125,8 +134,8 @@
     fn refill_slow_start_budgets(&mut self, inputs: &WeightInputs<'_>) {
         let mut warm_count = 0.0;
         let mut warm_weight = 0.0;
-        for upstream in self.in_rotation() {
-            if upstream.rotation.weight > 0.0 && !upstream.slow_start.is_active() {
+        for upstream in self.subset_members() {
+            if upstream.rotation.takes_turns() && !upstream.slow_start.is_active() {
                 warm_weight += upstream.rotation.weight;
                 warm_count += 1.0;
             }
@@ -144,15 +153,22 @@
 }
 
 impl Upstream {
-    fn update_weight(&mut self, inputs: &WeightInputs<'_>, view: &FleetView) {
+    /// Lets the samples of the relative latency and the abandoned attempts decay by these factors.
+    fn decay_statistics(&mut self, sample_factor: f64, abandoned_factor: f64) {
+        self.relative_latency.samples *= sample_factor;
+        self.abandoned_attempts *= abandoned_factor;
+    }
+
+    fn update_weight(&mut self, inputs: &WeightInputs<'_>, summary: &SubsetSummary) {
         let relative_latency =
             self.relative_latency.estimate().clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
         let warm_up_progress = self.slow_start.update_progress(inputs.now, inputs.settings);
-        let relative_size = self.size / view.largest_size;
+        let relative_size = self.size / summary.largest_size;
         let capacity = relative_size * warm_up_progress * self.slow_start.capacity_scale() / relative_latency;
         self.rotation.capacity = capacity.max(MIN_CAPACITY);
-        let is_usable = self.is_ready() && (!self.outlier.is_ejected(inputs.now) || view.ignores_ejections);
-        let zone_share = if self.zone == inputs.settings.zone || !view.own_zone_is_usable {
+        let is_usable =
+            self.is_ready() && (!self.outlier.is_ejected(inputs.now) || summary.ignores_ejections);
+        let zone_share = if self.zone == inputs.settings.zone || !summary.own_zone_is_usable {
             1.0
         } else {
             (1.0 - inputs.settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0)
