--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -108,3 +108,15 @@
         assert!(harness.last_actions.is_empty(), "{:?}", harness.last_actions);
     }
 }
+
+/// Settings that pass the validation must not make a balancer panic later.
+#[test]
+fn a_class_with_a_latency_objective_under_two_ticks_is_served() {
+    let class = request_class(20, 1000, RetrySafety::Idempotent);
+    let mut harness = BalancerHarness::new(settings().classes(vec![class]).build(), &endpoints(2));
+
+    let id = harness.send_request(0, 0, ms(1000));
+    harness.end_attempt(id, 0, Outcome::Ok);
+
+    assert_eq!(harness.response(id), Some(FinalResponse::Served));
+}
