--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -11,7 +11,7 @@
 /// The flag of a request that is a client's retry.
 pub const CLIENT_RETRY_FLAG: u8 = 2;
 
-/// The state of a subscription to endpoint updates.
+/// The value that turns a subscription to endpoint updates on.
 pub const SUBSCRIPTION_ON: u8 = 1;
 
 /// The kind of an event record; each variant's comment gives its name on the wire.
@@ -88,8 +88,8 @@
     CloseIdleConnections = 76,
 }
 
-/// Returns the outcome of an attempt or a health check.
-pub fn outcome(code: u16) -> Result<Outcome, WireProblem> {
+/// Returns the outcome of an attempt or a health check. Fails on an unknown code.
+pub fn outcome_from_code(code: u16) -> Result<Outcome, WireProblem> {
     match code {
         100 => Ok(Outcome::Ok),
         301 => Ok(Outcome::Error),
@@ -103,8 +103,8 @@
     }
 }
 
-/// Returns the availability of an endpoint.
-pub fn availability(code: u8) -> Result<Availability, WireProblem> {
+/// Returns the availability of an endpoint. Fails on an unknown code.
+pub fn availability_from_code(code: u8) -> Result<Availability, WireProblem> {
     match code {
         0 => Ok(Availability::Removed),
         1 => Ok(Availability::Ready),
@@ -113,8 +113,8 @@
     }
 }
 
-/// Returns the scope of an endpoint update.
-pub fn update_scope(code: u8) -> Result<UpdateScope, WireProblem> {
+/// Returns the scope of an endpoint update. Fails on an unknown code.
+pub fn update_scope_from_code(code: u8) -> Result<UpdateScope, WireProblem> {
     match code {
         0 => Ok(UpdateScope::Failed),
         1 => Ok(UpdateScope::Snapshot),
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::codes::{self, EventCode};
 use crate::error::{WireError, WireProblem};
 use crate::frame::LENGTH_BYTES;
-use crate::reader::Reader;
+use crate::reader::FieldReader;
 use crate::record::{BalancerEvent, Batch, Record, RecordBody, UpstreamResult};
 use balancer_core::{
     AttemptIndex, Availability, CellId, ClassId, EndpointEntry, HardwareId, Outcome, RequestId, TenantId,
@@ -12,12 +12,15 @@
 use balancer_settings::duration_from_ms;
 use std::time::Duration;
 
+#[cfg(test)]
+mod tests;
+
 /// Size of an entry of an endpoint list in bytes.
 const ENTRY_BYTES: usize = 24;
 
 /// Decodes a frame, its length field included. Fails at the first byte that no batch can hold.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, WireError> {
-    let mut reader = Reader::new(frame);
+    let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
     let actual = frame.len() - LENGTH_BYTES;
     if stated != actual {
@@ -26,75 +29,75 @@
     let clock = reader.duration("clock")?;
     let mut records = Vec::new();
     while !reader.is_at_end() {
-        records.push(record(&mut reader)?);
+        records.push(decode_record(&mut reader)?);
     }
     Ok(Batch { clock, records })
 }
 
-fn record(reader: &mut Reader<'_>) -> Result<Record, WireError> {
+fn decode_record(reader: &mut FieldReader<'_>) -> Result<Record, WireError> {
     let offset = reader.offset();
     let code = EventCode::try_from(reader.u8("record code")?).map_err(|problem| problem.at(offset))?;
     let body = match code {
-        EventCode::EndpointList => endpoint_list(reader)?,
-        EventCode::Start => start(reader)?,
-        EventCode::Kill => RecordBody::Kill { instance: instance(reader)? },
-        EventCode::PeerMessage => peer_message(reader)?,
-        EventCode::ClientDisconnected => balancer_event(reader, client_disconnected)?,
-        EventCode::StreamStarted => balancer_event(reader, stream_started)?,
-        EventCode::TimerFired => balancer_event(reader, timer_fired)?,
-        EventCode::HealthCheckEnded => balancer_event(reader, health_check_ended)?,
-        EventCode::EndpointUpdate => balancer_event(reader, endpoint_update)?,
-        EventCode::AttemptEnded => balancer_event(reader, attempt_ended)?,
-        EventCode::RequestArrived => balancer_event(reader, request_arrived)?,
+        EventCode::EndpointList => decode_endpoint_list(reader)?,
+        EventCode::Start => decode_start(reader)?,
+        EventCode::Kill => RecordBody::Kill { instance: read_instance(reader)? },
+        EventCode::PeerMessage => decode_peer_message(reader)?,
+        EventCode::ClientDisconnected => decode_balancer_event(reader, decode_client_disconnected)?,
+        EventCode::StreamStarted => decode_balancer_event(reader, decode_stream_started)?,
+        EventCode::TimerFired => decode_balancer_event(reader, decode_timer_fired)?,
+        EventCode::HealthCheckEnded => decode_balancer_event(reader, decode_health_check_ended)?,
+        EventCode::EndpointUpdate => decode_balancer_event(reader, decode_endpoint_update)?,
+        EventCode::AttemptEnded => decode_balancer_event(reader, decode_attempt_ended)?,
+        EventCode::RequestArrived => decode_balancer_event(reader, decode_request_arrived)?,
     };
     Ok(Record { offset, body })
 }
 
-fn balancer_event(
-    reader: &mut Reader<'_>,
-    decode: fn(&mut Reader<'_>) -> Result<BalancerEvent, WireError>,
+fn decode_balancer_event(
+    reader: &mut FieldReader<'_>,
+    decode: fn(&mut FieldReader<'_>) -> Result<BalancerEvent, WireError>,
 ) -> Result<RecordBody, WireError> {
-    let instance = instance(reader)?;
+    let instance = read_instance(reader)?;
     let event = decode(reader)?;
     Ok(RecordBody::BalancerEvent { instance, event })
 }
 
-fn endpoint_list(reader: &mut Reader<'_>) -> Result<RecordBody, WireError> {
+fn decode_endpoint_list(reader: &mut FieldReader<'_>) -> Result<RecordBody, WireError> {
     let offset = reader.offset();
     let number = reader.u32("list number")?;
     let count = reader.count(ENTRY_BYTES, "number of entries")?;
     if number > codes::MAX_LIST_NUMBER {
         return Err(WireProblem::ListNumberOutOfRange(number).at(offset));
     }
-    let entries = (0..count).map(|_| endpoint_entry(reader)).collect::<Result<_, _>>()?;
+    let entries = (0..count).map(|_| decode_endpoint_entry(reader)).collect::<Result<_, _>>()?;
     Ok(RecordBody::EndpointList { number, entries })
 }
 
-fn endpoint_entry(reader: &mut Reader<'_>) -> Result<EndpointEntry, WireError> {
+fn decode_endpoint_entry(reader: &mut FieldReader<'_>) -> Result<EndpointEntry, WireError> {
     Ok(EndpointEntry {
         id: reader.upstream()?,
         zone: ZoneId(reader.u8("zone")?),
         hardware: HardwareId(reader.u16("kind")?),
         cell: CellId(reader.u16("cell")?),
-        availability: availability(reader)?,
+        availability: read_availability(reader)?,
         weight: f64::from(reader.f32("weight")?),
-        started_at: started_at(reader)?,
+        started_at: read_started_at(reader)?,
     })
 }
 
-fn availability(reader: &mut Reader<'_>) -> Result<Availability, WireError> {
+fn read_availability(reader: &mut FieldReader<'_>) -> Result<Availability, WireError> {
     let offset = reader.offset();
-    codes::availability(reader.u8("availability")?).map_err(|problem| problem.at(offset))
+    codes::availability_from_code(reader.u8("availability")?).map_err(|problem| problem.at(offset))
 }
 
 /// Reads a start time, where zero stands for an unknown one.
-fn started_at(reader: &mut Reader<'_>) -> Result<Option<Duration>, WireError> {
+fn read_started_at(reader: &mut FieldReader<'_>) -> Result<Option<Duration>, WireError> {
     let ms = reader.f64("start time")?;
     Ok((ms > 0.0).then(|| duration_from_ms(ms)))
 }
 
-fn start(reader: &mut Reader<'_>) -> Result<RecordBody, WireError> {
-    let instance = instance(reader)?;
+fn decode_start(reader: &mut FieldReader<'_>) -> Result<RecordBody, WireError> {
+    let instance = read_instance(reader)?;
     let seed = reader.u64("seed")?;
     let length = reader.count(1, "settings' length")?;
     let offset = reader.offset();
@@ -103,65 +106,65 @@
     Ok(RecordBody::Start { instance, seed, settings: settings.to_owned() })
 }
 
-fn peer_message(reader: &mut Reader<'_>) -> Result<RecordBody, WireError> {
-    let instance = instance(reader)?;
+fn decode_peer_message(reader: &mut FieldReader<'_>) -> Result<RecordBody, WireError> {
+    let instance = read_instance(reader)?;
     reader.u16("sender")?;
     let length = reader.u16("message's length")?;
     reader.bytes(usize::from(length), "message")?;
     Ok(RecordBody::PeerMessage { instance })
 }
 
-fn client_disconnected(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
-    Ok(BalancerEvent::ClientDisconnected { id: request_id(reader)? })
+fn decode_client_disconnected(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
+    Ok(BalancerEvent::ClientDisconnected { id: read_request_id(reader)? })
 }
 
-fn stream_started(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
-    let id = request_id(reader)?;
+fn decode_stream_started(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
+    let id = read_request_id(reader)?;
     reader.upstream()?;
-    let attempt = attempt_index(reader)?;
+    let attempt = read_attempt_index(reader)?;
     let latency = reader.duration("latency")?;
     Ok(BalancerEvent::StreamStarted { id, attempt, latency })
 }
 
-fn timer_fired(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
+fn decode_timer_fired(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
     Ok(BalancerEvent::TimerFired { timer: TimerId(reader.u32("timer")?) })
 }
 
-fn health_check_ended(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
+fn decode_health_check_ended(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
     let upstream = reader.upstream()?;
     let latency = reader.duration("latency")?;
-    let outcome = outcome(reader)?;
-    let load_report = load_report(reader)?;
+    let outcome = read_outcome(reader)?;
+    let load_report = read_load_report(reader)?;
     let result = UpstreamResult { upstream, outcome, latency, load_report };
     Ok(BalancerEvent::HealthCheckEnded { result })
 }
 
-fn endpoint_update(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
-    let scope = update_scope(reader)?;
+fn decode_endpoint_update(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
+    let scope = read_update_scope(reader)?;
     reader.u32("version")?;
     let list = reader.u32("list number")?;
     Ok(BalancerEvent::EndpointUpdate { scope, list })
 }
 
-fn update_scope(reader: &mut Reader<'_>) -> Result<UpdateScope, WireError> {
+fn read_update_scope(reader: &mut FieldReader<'_>) -> Result<UpdateScope, WireError> {
     let offset = reader.offset();
-    codes::update_scope(reader.u8("scope")?).map_err(|problem| problem.at(offset))
+    codes::update_scope_from_code(reader.u8("scope")?).map_err(|problem| problem.at(offset))
 }
 
-fn attempt_ended(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
-    let id = request_id(reader)?;
-    let attempt = attempt_index(reader)?;
+fn decode_attempt_ended(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
+    let id = read_request_id(reader)?;
+    let attempt = read_attempt_index(reader)?;
     let upstream = reader.upstream()?;
-    let outcome = outcome(reader)?;
+    let outcome = read_outcome(reader)?;
     let latency = reader.duration("latency")?;
     let request_finished = reader.u8("done flag")? != 0;
-    let load_report = load_report(reader)?;
+    let load_report = read_load_report(reader)?;
     let result = UpstreamResult { upstream, outcome, latency, load_report };
     Ok(BalancerEvent::AttemptEnded { id, attempt, request_finished, result })
 }
 
-fn request_arrived(reader: &mut Reader<'_>) -> Result<BalancerEvent, WireError> {
-    let id = request_id(reader)?;
+fn decode_request_arrived(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
+    let id = read_request_id(reader)?;
     let class = ClassId(reader.u16("class")?);
     let tenant = TenantId(reader.u32("tenant")?);
     reader.u64("key")?;
@@ -180,27 +183,24 @@
     })
 }
 
-fn instance(reader: &mut Reader<'_>) -> Result<u32, WireError> {
+fn read_instance(reader: &mut FieldReader<'_>) -> Result<u32, WireError> {
     reader.u32("instance")
 }
 
-fn request_id(reader: &mut Reader<'_>) -> Result<RequestId, WireError> {
+fn read_request_id(reader: &mut FieldReader<'_>) -> Result<RequestId, WireError> {
     Ok(RequestId(reader.u32("request")?))
 }
 
-fn attempt_index(reader: &mut Reader<'_>) -> Result<AttemptIndex, WireError> {
+fn read_attempt_index(reader: &mut FieldReader<'_>) -> Result<AttemptIndex, WireError> {
     Ok(AttemptIndex(reader.u8("attempt")?))
 }
 
-fn outcome(reader: &mut Reader<'_>) -> Result<Outcome, WireError> {
+fn read_outcome(reader: &mut FieldReader<'_>) -> Result<Outcome, WireError> {
     let offset = reader.offset();
-    codes::outcome(reader.u16("outcome")?).map_err(|problem| problem.at(offset))
+    codes::outcome_from_code(reader.u16("outcome")?).map_err(|problem| problem.at(offset))
 }
 
-fn load_report(reader: &mut Reader<'_>) -> Result<Vec<f32>, WireError> {
+fn read_load_report(reader: &mut FieldReader<'_>) -> Result<Vec<f32>, WireError> {
     let count = reader.u8("load report's length")?;
     (0..count).map(|_| reader.f32("load report")).collect()
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -5,8 +5,11 @@
 use balancer_core::{Action, RequestId, UpstreamId};
 use std::time::Duration;
 
+#[cfg(test)]
+mod tests;
+
 const MS_PER_SECOND: f64 = 1e3;
-/// On the wire an absent time is zero.
+/// On the wire an absent time is zero. `Some(Duration::ZERO)` is therefore encoded as absent, too.
 const ABSENT_MS: f64 = 0.0;
 
 /// A reply frame, whose buffer is reused from batch to batch: [`clear`](Self::clear), then [`push`](Self::push) for
@@ -115,6 +118,3 @@
         self.frame.extend(&text.as_bytes()[..length]);
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -7,7 +7,7 @@
 pub const LENGTH_BYTES: usize = 4;
 /// Size of the clock, which every batch holds.
 const CLOCK_BYTES: usize = 8;
-/// Longer frames are rejected as garbage.
+/// Longer frames are rejected as malformed.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 
 /// Reads the frames of an input into a buffer that it reuses.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 //! input and output.
 //!
 //! It only translates; every decision is the library's. Malformed input ends the process with one line on standard
-//! error and exit code 1. No part of a reply is written then.
+//! error and exit code 1. No part of the reply to that batch is written; earlier replies stand.
 
 mod codes;
 mod decode;
--- a/crates/simulator-adapter/src/reader.rs
+++ b/crates/simulator-adapter/src/reader.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 /// A position in a frame. Each method reads one field and fails if the frame ends within it.
-pub struct Reader<'a> {
+pub struct FieldReader<'a> {
     frame: &'a [u8],
     offset: usize,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> FieldReader<'a> {
     /// Starts at the first byte of a frame.
     pub fn new(frame: &'a [u8]) -> Self {
         Self { frame, offset: 0 }
