--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -50,6 +50,7 @@
             tenants: object.tenants.iter().map(Tenant::from).collect(),
             over_quota_weight: object.over_quota_weight.unwrap_or(default.over_quota_weight),
             weight_by_work: object.weight_by.as_deref() == Some("work"),
+            // "subscribe": the balancer itself begins each watch.
             poll_endpoints: object.discovery.as_deref() == Some("subscribe"),
             poll_interval: duration_or(guarantees.poll_interval_ms, default.poll_interval),
             slow_start_floor: guarantees.slow_start_floor.unwrap_or(default.slow_start_floor),
--- a/crates/settings/tests/defaults.rs
+++ b/crates/settings/tests/defaults.rs
@@ -22,6 +22,20 @@
     assert_eq!(site, parse("{}").expect("an empty object is valid"));
 }
 
+#[test]
+fn an_unknown_value_of_an_enumerated_key_counts_as_absent() {
+    for text in [
+        r#"{"discovery": "unheard"}"#,
+        r#"{"worth_by": "unheard"}"#,
+        r#"{"weight_kind": "unheard"}"#,
+        r#"{"telemetry": {"how": "unheard"}}"#,
+    ] {
+        let site = parse(text).expect("an unknown value is valid");
+
+        assert_eq!(site, parse("{}").expect("an empty object is valid"), "{text}");
+    }
+}
+
 #[test]
 fn an_empty_class_is_the_default_class() {
     let site = parse(r#"{"classes": [{}]}"#).expect("an empty class is valid");
--- a/crates/settings/tests/errors.rs
+++ b/crates/settings/tests/errors.rs
@@ -25,6 +25,22 @@
     );
 }
 
+#[test]
+fn null_is_an_error_in_a_field_that_is_not_optional() {
+    for text in [
+        r#"{"me": null}"#,
+        r#"{"goal": null}"#,
+        r#"{"classes": null}"#,
+        r#"{"classes": [{"aim_ms": null}]}"#,
+        r#"{"parties": [{"allowance_per_s": null}]}"#,
+        r#"{"limits": {"cpu_us_per_request": null}}"#,
+        r#"{"prices": {"probe": null}}"#,
+        r#"{"telemetry": {"fields": null}}"#,
+    ] {
+        assert!(matches!(error_of(text), SettingsParseError::Json(_)), "{text}");
+    }
+}
+
 #[test]
 fn an_unknown_retry_safety_is_named_with_its_class() {
     let error = error_of(r#"{"classes": [{"name": "booking", "effect": "maybe"}]}"#);
