--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Everything a change has to pass; see README.md. The limits of the decision module are in tests/limits.rs.
+# Everything a change has to pass; see README.md. The limits of the files that decide are in crates/core/tests/source_layout.rs.
 # Tests that KNOWN-RED.txt lists are passed over and printed.
 set -eu
 cd "$(dirname "$0")"
