--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -18,7 +18,7 @@
 /// Size of an entry of an endpoint list in bytes.
 const ENTRY_BYTES: usize = 24;
 
-/// Decodes a frame, its length field included. Fails at the first byte that no batch can hold.
+/// Decodes a frame, its length field included. Fails at the first malformed field, and names its offset.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, WireError> {
     let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -37,7 +37,7 @@
 /// What can be wrong with a batch.
 #[derive(Debug, Error)]
 pub enum WireProblem {
-    /// The length field is below the size of a header or above the size limit.
+    /// The length field is below the size of the clock or above the size limit.
     #[error("length {0} fits no batch")]
     LengthOutOfRange(usize),
     /// The length field differs from the size of the frame.
