--- a/crates/core/src/watch_schedule.rs
+++ b/crates/core/src/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! When a balancer calls discovery for the endpoint list, where the settings make it poll.
+//! When a balancer begins a watch of the endpoint list, where the settings leave that to it.
 //!
 //! A watch is begun at start and again once it has failed. The wait doubles after each failed call and is
 //! jittered, so that many balancers do not call at once when discovery has recovered. It stays short enough
--- a/crates/core/tests/golden/world.rs
+++ b/crates/core/tests/golden/world.rs
@@ -25,21 +25,28 @@
     Unreachable,
 }
 
+/// An upstream, as it is listed and as it behaves.
+struct SimulatedUpstream {
+    entry: EndpointEntry,
+    condition: Condition,
+}
+
+/// An event that is planned.
 enum Pending {
     Arrival,
     Change,
-    ListArrives,
+    PollResponse,
     Timer(TimerId),
     AttemptEnds { id: RequestId, attempt: u8, outcome: Outcome },
     StreamStarts { id: RequestId, attempt: u8 },
     ClientLeaves { id: RequestId },
-    ProbeEnds { upstream: UpstreamId },
+    HealthCheckEnds { upstream: UpstreamId },
 }
 
 struct SentAttempt {
     upstream: UpstreamId,
     sent: Duration,
-    out: bool,
+    in_flight: bool,
 }
 
 #[derive(Default)]
@@ -58,7 +65,7 @@
     pending: BTreeMap<u64, Pending>,
     due: BinaryHeap<Reverse<(Duration, u64)>>,
     sequence: u64,
-    entries: BTreeMap<UpstreamId, (EndpointEntry, Condition)>,
+    upstreams: BTreeMap<UpstreamId, SimulatedUpstream>,
     next_upstream: u64,
     requests: BTreeMap<RequestId, SentRequest>,
     next_request: u32,
@@ -68,7 +75,7 @@
 
 impl World {
     pub fn new(scenario: Scenario, seed: u64) -> Self {
-        let balancer = Balancer::new(scenario.settings.clone(), seed).expect("settings permit decisions");
+        let balancer = Balancer::new(scenario.settings.clone(), seed).expect("valid settings");
         let mut world = Self {
             generator: Generator(seed),
             balancer,
@@ -77,7 +84,7 @@
             pending: BTreeMap::new(),
             due: BinaryHeap::new(),
             sequence: 0,
-            entries: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
             next_upstream: 1,
             requests: BTreeMap::new(),
             next_request: 1,
@@ -88,7 +95,7 @@
             world.add_upstream(false);
         }
         let known = world.list();
-        world.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &known });
+        world.deliver(Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &known });
         world.schedule(Duration::ZERO, Pending::Arrival);
         world.schedule(MEAN_CHANGE_GAP, Pending::Change);
         world
@@ -101,7 +108,7 @@
     }
 
     fn list(&self) -> Vec<EndpointEntry> {
-        self.entries.values().map(|(entry, _)| entry.clone()).collect()
+        self.upstreams.values().map(|upstream| upstream.entry.clone()).collect()
     }
 
     fn add_upstream(&mut self, starts_now: bool) -> UpstreamId {
@@ -121,18 +128,18 @@
             weight,
             started_at: started,
         };
-        self.entries.insert(id, (entry, Condition::Healthy));
+        self.upstreams.insert(id, SimulatedUpstream { entry, condition: Condition::Healthy });
         id
     }
 
     fn any_upstream(&mut self) -> Option<UpstreamId> {
-        let count = self.entries.len() as u64;
+        let count = self.upstreams.len() as u64;
         let position = (count > 0).then(|| self.generator.below(count) as usize)?;
-        self.entries.keys().nth(position).copied()
+        self.upstreams.keys().nth(position).copied()
     }
 
     /// Tells the balancer one event, takes its actions into the hash and plans what follows from them.
-    fn tell(&mut self, event: Event<'_>) {
+    fn deliver(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.hash.number(actions.len() as u64);
@@ -144,7 +151,7 @@
         }
     }
 
-    fn note(&mut self, what: &'static str) {
+    fn count(&mut self, what: &'static str) {
         *self.seen.entry(what).or_default() += 1;
     }
 
@@ -152,30 +159,30 @@
         match action {
             Action::SendAttempt { id, upstream, timeout } => self.attempt(id, upstream, timeout),
             Action::CancelAttempt { id, attempt } => {
-                self.note("cancel");
+                self.count("cancel");
                 let outcome = Outcome::Cancelled;
                 self.schedule(Duration::ZERO, Pending::AttemptEnds { id, attempt: attempt.0, outcome });
             }
             Action::Reject { id, reason, .. } => {
-                self.note(match reason {
-                    RejectionReason::OverQuota => "no token",
+                self.count(match reason {
+                    RejectionReason::OverQuota => "over quota",
                     RejectionReason::NoUpstream => "no upstream",
-                    RejectionReason::NoRetry => "no further attempt",
+                    RejectionReason::NoRetry => "no retry",
                 });
                 self.requests.entry(id).or_default().answered = true;
             }
             Action::Fail { id } => {
-                self.note("fail");
+                self.count("fail");
                 self.requests.entry(id).or_default().answered = true;
             }
             Action::SetTimer { after, timer } => self.schedule(after, Pending::Timer(timer)),
-            Action::CloseIdleConnections { .. } => self.note("close idle"),
+            Action::CloseIdleConnections { .. } => self.count("close idle"),
             Action::CheckHealth { upstream } => {
-                self.schedule(Duration::from_millis(5), Pending::ProbeEnds { upstream });
+                self.schedule(Duration::from_millis(5), Pending::HealthCheckEnds { upstream });
             }
             Action::WatchEndpoints => {
-                self.note("watch");
-                self.schedule(Duration::from_millis(30), Pending::ListArrives);
+                self.count("watch");
+                self.schedule(Duration::from_millis(30), Pending::PollResponse);
             }
             Action::FetchEndpoints | Action::Log { .. } => {}
         }
@@ -184,13 +191,13 @@
     fn attempt(&mut self, id: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
         let request = self.requests.entry(id).or_default();
         let attempt = request.attempts.len() as u8;
-        request.attempts.push(SentAttempt { upstream, sent: self.now, out: true });
+        request.attempts.push(SentAttempt { upstream, sent: self.now, in_flight: true });
         if attempt > 0 {
-            self.note("further attempt");
+            self.count("retry or hedge");
         }
         let ms = Duration::from_millis;
         let condition =
-            self.entries.get(&upstream).map_or(Condition::Unreachable, |(_, condition)| *condition);
+            self.upstreams.get(&upstream).map_or(Condition::Unreachable, |upstream| upstream.condition);
         let (mean, outcome) = match condition {
             Condition::Healthy if self.generator.percent(2) => (ms(5), Outcome::Reset),
             Condition::Healthy if self.generator.percent(1) => (ms(1), Outcome::NotSent),
@@ -218,27 +225,27 @@
         match self.pending.remove(&sequence).expect("planned once") {
             Pending::Arrival => self.arrival(),
             Pending::Change => self.change(),
-            Pending::ListArrives => self.list_arrives(),
-            Pending::Timer(timer) => self.tell(Event::TimerFired { timer }),
+            Pending::PollResponse => self.deliver_poll_response(),
+            Pending::Timer(timer) => self.deliver(Event::TimerFired { timer }),
             Pending::AttemptEnds { id, attempt, outcome } => self.attempt_ends(id, attempt, outcome),
             Pending::StreamStarts { id, attempt } => {
-                let out = |a: &SentAttempt| a.out.then_some(a.sent);
+                let out = |a: &SentAttempt| a.in_flight.then_some(a.sent);
                 let sent =
                     self.requests.get(&id).and_then(|r| r.attempts.get(usize::from(attempt)).and_then(out));
                 if let Some(sent) = sent {
                     let latency = self.now - sent;
-                    self.tell(Event::StreamStarted { id, attempt: AttemptIndex(attempt), latency });
+                    self.deliver(Event::StreamStarted { id, attempt: AttemptIndex(attempt), latency });
                 }
             }
             Pending::ClientLeaves { id } => {
                 if self.requests.get_mut(&id).is_some_and(|r| !std::mem::replace(&mut r.answered, true)) {
-                    self.tell(Event::ClientDisconnected { id });
+                    self.deliver(Event::ClientDisconnected { id });
                 }
             }
-            Pending::ProbeEnds { upstream } => {
+            Pending::HealthCheckEnds { upstream } => {
                 let report = self.report();
                 let (outcome, latency) = (Outcome::Ok, Duration::from_millis(5));
-                self.tell(Event::HealthCheckEnded { upstream, outcome, latency, load_report: &report });
+                self.deliver(Event::HealthCheckEnded { upstream, outcome, latency, load_report: &report });
             }
         }
     }
@@ -257,7 +264,14 @@
         let expected_work_ms = self.generator.percent(30).then_some(12.5);
         let is_client_retry = self.generator.percent(5);
         self.requests.entry(id).or_default();
-        self.tell(Event::RequestArrived { id, class, tenant, time_left, expected_work_ms, is_client_retry });
+        self.deliver(Event::RequestArrived {
+            id,
+            class,
+            tenant,
+            time_left,
+            expected_work_ms,
+            is_client_retry,
+        });
         if self.generator.percent(4) {
             self.schedule(Duration::from_millis(60), Pending::ClientLeaves { id });
         }
@@ -280,15 +294,17 @@
 
     fn attempt_ends(&mut self, id: RequestId, attempt: u8, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(sent) = request.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else { return };
-        sent.out = false;
+        let Some(sent) = request.attempts.get_mut(usize::from(attempt)).filter(|a| a.in_flight) else {
+            return;
+        };
+        sent.in_flight = false;
         let upstream = sent.upstream;
         let latency = self.now - sent.sent;
         request.answered |= outcome == Outcome::Ok;
         let finished = request.answered;
         let report = self.report();
         let attempt = AttemptIndex(attempt);
-        self.note(match outcome {
+        self.count(match outcome {
             Outcome::Ok => "ok",
             Outcome::Error => "error",
             Outcome::Rejected => "rejected",
@@ -298,7 +314,7 @@
             Outcome::Cancelled => "cancelled",
             Outcome::NotSent => "not sent",
         });
-        self.tell(Event::AttemptEnded {
+        self.deliver(Event::AttemptEnded {
             id,
             attempt,
             upstream,
@@ -312,22 +328,22 @@
     /// Changes the list of upstreams, or the condition of some of them.
     fn change(&mut self) {
         match self.generator.below(12) {
-            0 => self.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] }),
-            1 => self.list_arrives(),
+            0 => self.deliver(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] }),
+            1 => self.deliver_poll_response(),
             2 => {
                 // A whole list that leaves out what has gone, and names newcomers.
                 if let Some(gone) = self.any_upstream() {
-                    self.entries.remove(&gone);
+                    self.upstreams.remove(&gone);
                 }
                 self.add_upstream(true);
                 let list = self.list();
-                self.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &list });
+                self.deliver(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &list });
             }
             3 => self.relist(Availability::Removed),
             4 => self.relist(Availability::Draining),
             5 | 6 => {
                 let id = self.add_upstream(true);
-                self.tell_change(id);
+                self.deliver_entry(id);
             }
             7 => self.restart(),
             _ => self.change_conditions(),
@@ -337,40 +353,40 @@
     }
 
     /// The answer to a call for the list: most often the whole of it, sometimes a failure.
-    fn list_arrives(&mut self) {
+    fn deliver_poll_response(&mut self) {
         if self.generator.percent(30) {
-            self.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
+            self.deliver(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
             return;
         }
         let list = self.list();
-        self.tell(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &list });
+        self.deliver(Event::EndpointUpdate { scope: UpdateScope::Snapshot, entries: &list });
     }
 
-    fn tell_change(&mut self, id: UpstreamId) {
-        let entry = self.entries[&id].0.clone();
-        self.tell(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[entry] });
+    fn deliver_entry(&mut self, id: UpstreamId) {
+        let entry = self.upstreams[&id].entry.clone();
+        self.deliver(Event::EndpointUpdate { scope: UpdateScope::Delta, entries: &[entry] });
     }
 
     fn relist(&mut self, availability: Availability) {
         let Some(id) = self.any_upstream() else { return };
-        if let Some((entry, _)) = self.entries.get_mut(&id) {
-            entry.availability = availability;
+        if let Some(upstream) = self.upstreams.get_mut(&id) {
+            upstream.entry.availability = availability;
         }
-        self.tell_change(id);
+        self.deliver_entry(id);
         if availability == Availability::Removed {
-            self.entries.remove(&id);
+            self.upstreams.remove(&id);
         }
     }
 
     fn restart(&mut self) {
         let Some(id) = self.any_upstream() else { return };
         let now = self.now;
-        if let Some((entry, condition)) = self.entries.get_mut(&id) {
-            entry.started_at = Some(now);
-            entry.availability = Availability::Ready;
-            *condition = Condition::Healthy;
+        if let Some(upstream) = self.upstreams.get_mut(&id) {
+            upstream.entry.started_at = Some(now);
+            upstream.entry.availability = Availability::Ready;
+            upstream.condition = Condition::Healthy;
         }
-        self.tell_change(id);
+        self.deliver_entry(id);
     }
 
     /// Draws no number where the scenario has no outage.
@@ -380,7 +396,7 @@
     }
 
     fn change_conditions(&mut self) {
-        let changed = 1 + self.entries.len() / 12;
+        let changed = 1 + self.upstreams.len() / 12;
         for _ in 0..changed {
             let condition = match self.generator.below(14) {
                 _ if self.is_unreachable_by_scenario() => Condition::Unreachable,
@@ -393,9 +409,9 @@
                 _ => Condition::Healthy,
             };
             if let Some(id) = self.any_upstream()
-                && let Some((_, held)) = self.entries.get_mut(&id)
+                && let Some(upstream) = self.upstreams.get_mut(&id)
             {
-                *held = condition;
+                upstream.condition = condition;
             }
         }
     }
