--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -14,14 +14,14 @@
 
 /// The environment variable that names the configuration file.
 const PATH_VARIABLE: &str = "NODE_CONFIG";
-/// Descriptors kept for what is neither a client nor an upstream connection: standard streams, the poller, the
-/// listener, signals and calls to discovery.
-const RESERVED_SOCKETS: usize = 24;
+/// Descriptors kept for standard streams, the poller, the listening socket and calls to discovery (about ten
+/// overlapping).
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Fraction of the other descriptors that connections to upstreams may use; clients get the rest.
 const UPSTREAM_SOCKET_FRACTION: f64 = 0.45;
 /// Buffered responses may use one part in this many of the memory. Reading a response holds it twice for a moment.
 const BUFFERED_RESPONSE_MEMORY_DIVISOR: usize = 5;
-const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
+const BYTES_PER_MEBIBYTE: usize = 1024 * 1024;
 
 /// The configuration of a proxy.
 #[derive(Debug)]
@@ -99,9 +99,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// CPU cores; may be a fraction.
+    /// CPU cores; may be a fraction. Only logged.
     pub cores: f64,
-    /// Memory in megabytes.
+    /// Memory in MiB.
     pub memory_mb: u64,
     /// File descriptors.
     pub sockets: usize,
@@ -129,7 +129,7 @@
         let raw: RawConfig<'_> = serde_json::from_str(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16)?;
         let site = balancer_settings::parse(raw.settings.get())?;
-        if raw.limits.sockets < 2 * RESERVED_SOCKETS {
+        if raw.limits.sockets < 2 * RESERVED_DESCRIPTORS {
             return Err(InvalidConfig::TooFewSockets(raw.limits.sockets));
         }
         Ok(Self {
@@ -144,17 +144,17 @@
 
     /// The number of connections to upstreams that may be open.
     pub fn max_upstream_connections(&self) -> usize {
-        ((self.limits.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_SOCKET_FRACTION) as usize
+        ((self.limits.sockets - RESERVED_DESCRIPTORS) as f64 * UPSTREAM_SOCKET_FRACTION) as usize
     }
 
     /// The number of client connections that may be open.
     pub fn max_client_connections(&self) -> usize {
-        self.limits.sockets - RESERVED_SOCKETS - self.max_upstream_connections()
+        self.limits.sockets - RESERVED_DESCRIPTORS - self.max_upstream_connections()
     }
 
     /// The number of bytes that long responses may hold together while they are buffered.
     pub fn max_buffered_response_bytes(&self) -> usize {
-        let memory_bytes = (self.limits.memory_mb as usize).saturating_mul(BYTES_PER_MEGABYTE);
+        let memory_bytes = (self.limits.memory_mb as usize).saturating_mul(BYTES_PER_MEBIBYTE);
         memory_bytes / BUFFERED_RESPONSE_MEMORY_DIVISOR
     }
 }
