--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -165,9 +165,9 @@
             cell: CellId(raw.cell.unwrap_or_default() as u16),
             weight: raw.weight.unwrap_or(DEFAULT_WEIGHT),
             state: EndpointState {
-                endpoint: address,
+                address,
                 availability,
-                boot_ms: raw.started_at_unix_ms.unwrap_or_default().max(0.0) as u64,
+                started_at_unix_ms: raw.started_at_unix_ms.unwrap_or_default().max(0.0) as u64,
             },
         })
     }
@@ -197,7 +197,7 @@
         hardware: UNKNOWN_HARDWARE,
         cell: UNKNOWN_CELL,
         weight: DEFAULT_WEIGHT,
-        state: EndpointState { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
+        state: EndpointState { address: None, availability: Availability::Draining, started_at_unix_ms: 0 },
     })
 }
 
--- a/crates/proxy/src/discovery/endpoint_list/tests.rs
+++ b/crates/proxy/src/discovery/endpoint_list/tests.rs
@@ -42,9 +42,9 @@
         cell: CellId(7),
         weight: 1.5,
         state: EndpointState {
-            endpoint: Some(([127, 0, 0, 1], 80).into()),
+            address: Some(([127, 0, 0, 1], 80).into()),
             availability: Availability::Ready,
-            boot_ms: 1_700_000_000_000,
+            started_at_unix_ms: 1_700_000_000_000,
         },
     };
     assert_eq!(entries, [expected]);
@@ -57,7 +57,7 @@
     assert_eq!(entries[0].hardware, UNKNOWN_HARDWARE);
     assert_eq!(entries[0].cell, CellId(0));
     assert_eq!(entries[0].weight, DEFAULT_WEIGHT);
-    assert_eq!(entries[0].state.boot_ms, 0);
+    assert_eq!(entries[0].state.started_at_unix_ms, 0);
 }
 
 #[test]
@@ -86,7 +86,7 @@
         assert_eq!(entries.len(), 1, "{entry}");
         assert_eq!(entries[0].id, stable_id("s-0"), "{entry}");
         assert_eq!(entries[0].state.availability, Availability::Draining, "{entry}");
-        assert_eq!(entries[0].state.endpoint, None, "{entry}");
+        assert_eq!(entries[0].state.address, None, "{entry}");
     }
 }
 
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -2,7 +2,7 @@
 
 use crate::downstream::correlation_ids::{CorrelationIds, ReservedId};
 use crate::driver::IncomingRequest;
-use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
+use crate::headers::{self, CLIENT_RETRY, CORRELATION_ID, EXPECTED_WORK, IDEMPOTENCY_KEY, TENANT, TIME_LEFT};
 use crate::upstream::OutgoingRequest;
 use balancer_core::{ClassId, RetrySafety, TenantId};
 use balancer_settings::Site;
@@ -54,13 +54,13 @@
     MissingIdempotencyKey,
     /// `X-Account` names no tenant of the settings.
     #[error("unknown account")]
-    UnknownAccount,
+    UnknownTenant,
     /// `X-Time-Left-Ms` is missing or no whole number.
     #[error("no readable X-Time-Left-Ms")]
     InvalidTimeLeft,
     /// `X-Weight-Hint` is no number, or negative.
     #[error("unreadable X-Weight-Hint")]
-    InvalidWeightHint,
+    InvalidExpectedWork,
     /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
@@ -84,7 +84,7 @@
         match self {
             Self::UnknownClass => StatusCode::NOT_FOUND,
             Self::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
-            Self::UnknownAccount => StatusCode::FORBIDDEN,
+            Self::UnknownTenant => StatusCode::FORBIDDEN,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::DuplicateCorrelationId => StatusCode::CONFLICT,
@@ -94,7 +94,7 @@
             | Self::InvalidCorrelationId
             | Self::MissingIdempotencyKey
             | Self::InvalidTimeLeft
-            | Self::InvalidWeightHint
+            | Self::InvalidExpectedWork
             | Self::IncompleteBody
             | Self::UnexpectedBody => StatusCode::BAD_REQUEST,
         }
@@ -190,7 +190,7 @@
             // No client waits longer than its class permits, all of its retries included.
             time_left: time_left(headers)?.min(class.deadline),
             expected_work_ms: expected_work_ms(headers)?,
-            is_client_retry: headers.get(REPEAT).is_some_and(|value| value.as_bytes() == b"1"),
+            is_client_retry: headers.get(CLIENT_RETRY).is_some_and(|value| value.as_bytes() == b"1"),
             correlation_id,
             parts,
         })
@@ -233,11 +233,11 @@
 
     /// The tenant. Where the settings list none, all requests belong to the first.
     fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, RequestError> {
-        let name = single_value(headers, &ACCOUNT)?.and_then(|name| name.to_str().ok());
+        let name = single_value(headers, &TENANT)?.and_then(|name| name.to_str().ok());
         match name.and_then(|name| self.tenants.get(name)) {
             Some(tenant) => Ok(*tenant),
             None if self.tenants.is_empty() => Ok(TenantId(0)),
-            None => Err(RequestError::UnknownAccount),
+            None => Err(RequestError::UnknownTenant),
         }
     }
 }
@@ -259,12 +259,12 @@
 
 /// The client's estimate of the request's work, if it states one.
 fn expected_work_ms(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
-    let Some(hint) = single_value(headers, &WEIGHT_HINT)? else { return Ok(None) };
+    let Some(hint) = single_value(headers, &EXPECTED_WORK)? else { return Ok(None) };
     match hint.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok()) {
         Some(microseconds) if microseconds.is_finite() && microseconds >= 0.0 => {
             Ok(Some(microseconds / MICROSECONDS_PER_MILLISECOND))
         }
-        _ => Err(RequestError::InvalidWeightHint),
+        _ => Err(RequestError::InvalidExpectedWork),
     }
 }
 
--- a/crates/proxy/src/driver/events.rs
+++ b/crates/proxy/src/driver/events.rs
@@ -59,7 +59,7 @@
                 cell: endpoint.cell,
                 availability: endpoint.state.availability,
                 weight: endpoint.weight,
-                started_at: self.clock.at_unix_ms(endpoint.state.boot_ms),
+                started_at: self.clock.at_unix_ms(endpoint.state.started_at_unix_ms),
             });
         }
         entries
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -11,19 +11,19 @@
 /// The id of a request. Each of a client's retries has a new one.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// The tenant that a request belongs to.
-pub const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
+pub const TENANT: HeaderName = HeaderName::from_static("x-account");
 /// How long the sender of a request will wait for the response, in whole milliseconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 /// Marks a request as a client's retry.
-pub const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
+pub const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-repeat");
 /// An estimate of the work that a request takes, in microseconds.
-pub const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
+pub const EXPECTED_WORK: HeaderName = HeaderName::from_static("x-weight-hint");
 /// The key that makes a request safe to repeat.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Set to 1 in a response if the request was rejected without being executed.
-pub const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
+pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-unprocessed");
 /// The load report of an upstream, in its response.
-pub const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
+pub const LOAD_REPORT: HeaderName = HeaderName::from_static("x-backend-load");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -3,7 +3,7 @@
 //! An outcome says that the request was not executed only where that is proved: no connection was made, the
 //! kernel had not accepted the last byte of the request when the attempt ended, or the upstream says so itself.
 
-use crate::headers::{self, UNPROCESSED};
+use crate::headers::{self, NOT_EXECUTED};
 use crate::upstream::connection::Connection;
 use crate::upstream::exchange::{ExchangeError, exchange};
 use crate::upstream::request::{OutgoingRequest, RequestProgress};
@@ -176,10 +176,10 @@
 }
 
 fn outcome_of_response(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let unprocessed = headers.get(UNPROCESSED).is_some_and(|value| value.as_bytes() == b"1");
+    let not_executed = headers.get(NOT_EXECUTED).is_some_and(|value| value.as_bytes() == b"1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Rejected,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_executed => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/proxy/src/upstream/checkout.rs
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -16,7 +16,7 @@
     /// Whether it has carried requests before.
     pub reused: bool,
     /// The start time of the upstream's process, as known when the connection was asked for.
-    boot_ms: u64,
+    started_at_unix_ms: u64,
 }
 
 impl Upstreams {
@@ -29,11 +29,11 @@
         upstream: &Upstream,
         deadline: Instant,
     ) -> Result<CheckedOut, Outcome> {
-        let boot_ms = upstream.boot_ms.get();
+        let started_at_unix_ms = upstream.started_at_unix_ms.get();
         let connect_deadline = deadline.min(Instant::now() + self.connect_timeout);
         let slot = loop {
             if let Some(connection) = self.take_usable(id).await {
-                return Ok(CheckedOut { connection, reused: true, boot_ms });
+                return Ok(CheckedOut { connection, reused: true, started_at_unix_ms });
             }
             match timeout_at(connect_deadline, self.pool.acquire_slot(id)).await {
                 Ok(Some(slot)) => break slot,
@@ -42,12 +42,12 @@
                 Err(_) => return Err(Outcome::NotSent),
             }
         };
-        let Some(endpoint) = upstream.endpoint.get() else { return Err(Outcome::NotSent) };
-        match timeout_at(connect_deadline, Connection::open(endpoint, slot)).await {
-            Ok(Ok(connection)) => Ok(CheckedOut { connection, reused: false, boot_ms }),
+        let Some(address) = upstream.address.get() else { return Err(Outcome::NotSent) };
+        match timeout_at(connect_deadline, Connection::open(address, slot)).await {
+            Ok(Ok(connection)) => Ok(CheckedOut { connection, reused: false, started_at_unix_ms }),
             Ok(Err(error)) if is_local_shortage(&error) => Err(Outcome::NotSent),
             Ok(Err(error)) => {
-                tracing::debug!(%endpoint, %error, "connect failed");
+                tracing::debug!(%address, %error, "connect failed");
                 Err(Outcome::ConnectFailed)
             }
             Err(_) if connect_deadline == deadline => Err(Outcome::NotSent),
@@ -68,10 +68,10 @@
     /// Returns a connection to the pool. Closes it instead if the upstream takes no requests any more, has moved,
     /// or has restarted since the connection was asked for.
     pub(super) fn check_in(&self, id: UpstreamId, upstream: &Upstream, checked_out: CheckedOut) {
-        let CheckedOut { connection, boot_ms, .. } = checked_out;
-        let same_process = upstream.boot_ms.get() == boot_ms;
-        let same_endpoint = upstream.endpoint.get() == Some(connection.peer());
-        if upstream.ready.get() && same_process && same_endpoint {
+        let CheckedOut { connection, started_at_unix_ms, .. } = checked_out;
+        let same_process = upstream.started_at_unix_ms.get() == started_at_unix_ms;
+        let same_address = upstream.address.get() == Some(connection.peer());
+        if upstream.ready.get() && same_process && same_address {
             self.pool.put(id, connection);
         }
     }
--- a/crates/proxy/src/upstream/checkout/tests.rs
+++ b/crates/proxy/src/upstream/checkout/tests.rs
@@ -51,17 +51,21 @@
 #[tokio::test(flavor = "local")]
 async fn a_connection_is_not_kept_if_the_upstream_restarted_while_it_was_in_use() {
     let mut fixture = Fixture::with_max_connections(8).await;
-    for boot_ms in [0, 5, 5] {
-        let boot_ms_before = fixture.state.boot_ms;
+    for started_at_unix_ms in [0, 5, 5] {
+        let started_at_unix_ms_before = fixture.state.started_at_unix_ms;
         let attempt = fixture.spawn_attempt(UPSTREAM);
         let mut stream = fixture.accept_request().await;
 
-        fixture.set_boot_ms(boot_ms);
+        fixture.set_started_at_unix_ms(started_at_unix_ms);
         respond(&mut stream, EMPTY_RESPONSE).await;
         assert_eq!(attempt.await.unwrap().outcome, Outcome::Ok);
 
         let kept = fixture.upstreams.pool.take(UPSTREAM);
-        assert_eq!(kept.is_some(), boot_ms == boot_ms_before, "from {boot_ms_before} to {boot_ms}");
+        assert_eq!(
+            kept.is_some(),
+            started_at_unix_ms == started_at_unix_ms_before,
+            "from {started_at_unix_ms_before} to {started_at_unix_ms}"
+        );
     }
 }
 
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -1,6 +1,6 @@
 //! Load reports of upstreams: where they are found in a response, and how their text is read.
 
-use crate::headers::BACKEND_LOAD;
+use crate::headers::LOAD_REPORT;
 use crate::rate_limited_log::RateLimitedLog;
 use balancer_core::{LoadField, LoadReporting, Settings};
 use hyper::HeaderMap;
@@ -38,7 +38,7 @@
     /// settings. Returns no values if there is no report, if it is unreadable, or if the settings don't have
     /// upstreams report with every response.
     pub fn take_from_headers(&self, headers: &mut HeaderMap<HeaderValue>) -> Vec<f32> {
-        match headers.remove(BACKEND_LOAD) {
+        match headers.remove(LOAD_REPORT) {
             Some(report) if self.reporting == LoadReporting::Inline => self.read(report.as_bytes()),
             _ => Vec::new(),
         }
--- a/crates/proxy/src/upstream/set.rs
+++ b/crates/proxy/src/upstream/set.rs
@@ -19,25 +19,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointState {
     /// Where it listens. `None` if the list does not say so in a readable form.
-    pub endpoint: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Whether it takes requests.
     pub availability: Availability,
-    /// When its process started, as the list says.
-    pub boot_ms: u64,
+    /// When its process started, as the list says, in Unix time; 0 if long ago.
+    pub started_at_unix_ms: u64,
 }
 
 /// The current state of a known upstream. Attempts hold on to it while they wait for a connection, and so see
 /// changes that come in meanwhile.
 pub(super) struct Upstream {
-    pub(super) endpoint: Cell<Option<SocketAddr>>,
-    pub(super) boot_ms: Cell<u64>,
+    pub(super) address: Cell<Option<SocketAddr>>,
+    pub(super) started_at_unix_ms: Cell<u64>,
     /// Whether it takes requests. `false` once it drains or has been removed.
     pub(super) ready: Cell<bool>,
 }
 
 impl Upstream {
-    fn new(boot_ms: u64) -> Self {
-        Self { endpoint: Cell::new(None), boot_ms: Cell::new(boot_ms), ready: Cell::new(false) }
+    fn new(started_at_unix_ms: u64) -> Self {
+        Self {
+            address: Cell::new(None),
+            started_at_unix_ms: Cell::new(started_at_unix_ms),
+            ready: Cell::new(false),
+        }
     }
 }
 
@@ -82,13 +86,14 @@
             self.pool.close_idle(id);
             return;
         }
-        let upstream = known.entry(id).or_insert_with(|| Rc::new(Upstream::new(state.boot_ms)));
-        let moved = state.endpoint.is_some() && upstream.endpoint.get() != state.endpoint;
+        let upstream = known.entry(id).or_insert_with(|| Rc::new(Upstream::new(state.started_at_unix_ms)));
+        let moved = state.address.is_some() && upstream.address.get() != state.address;
         if moved {
-            upstream.endpoint.set(state.endpoint);
+            upstream.address.set(state.address);
         }
         upstream.ready.set(state.availability == Availability::Ready);
-        let restarted = upstream.boot_ms.replace(state.boot_ms) != state.boot_ms;
+        let restarted =
+            upstream.started_at_unix_ms.replace(state.started_at_unix_ms) != state.started_at_unix_ms;
         if restarted || moved || !upstream.ready.get() {
             self.pool.close_idle(id);
         }
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -25,7 +25,7 @@
 /// A response without a body.
 pub const EMPTY_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A set of upstreams with one entry, and the listener at its endpoint.
+/// A set of upstreams with one entry, and the listener at its address.
 pub struct Fixture {
     /// The set.
     pub upstreams: Rc<Upstreams>,
@@ -46,13 +46,13 @@
         };
         let budget = MAX_LENGTH_BODIES_IN_BUDGET * MAX_BODY_BYTES;
         let upstreams = Rc::new(Upstreams::new(&settings, max_connections, budget, Rc::default()));
-        let endpoint = Some(listener.local_addr().unwrap());
-        let state = EndpointState { endpoint, availability: Availability::Ready, boot_ms: 0 };
+        let address = Some(listener.local_addr().unwrap());
+        let state = EndpointState { address, availability: Availability::Ready, started_at_unix_ms: 0 };
         upstreams.apply_entry(UPSTREAM, &state);
         Self { upstreams, listener, state }
     }
 
-    /// Adds an upstream at the same endpoint.
+    /// Adds an upstream at the same address.
     pub fn add_upstream(&self, id: UpstreamId) {
         self.upstreams.apply_entry(id, &self.state);
     }
@@ -64,8 +64,8 @@
     }
 
     /// Has the list name a new start time of the upstream.
-    pub fn set_boot_ms(&mut self, boot_ms: u64) {
-        self.state.boot_ms = boot_ms;
+    pub fn set_started_at_unix_ms(&mut self, started_at_unix_ms: u64) {
+        self.state.started_at_unix_ms = started_at_unix_ms;
         self.upstreams.apply_entry(UPSTREAM, &self.state);
     }
 
