--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -4,9 +4,11 @@
 use crate::driver::in_flight::Attempt;
 use crate::driver::request::FinalResponse;
 use crate::driver::{Core, Driver};
+use crate::upstream::{AttemptResult, OutgoingRequest};
 use balancer_core::{Action, AttemptIndex, Outcome, RequestId, TimerId, UpstreamId};
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Sends an attempt, unless the request has had its final response.
+    /// Sends an attempt, unless the request has had its final response or its client has disconnected.
     fn send_attempt(
         self: &Rc<Self>,
         core: &mut Core,
@@ -39,24 +41,16 @@
     ) {
         let Some(request) = core.requests.get_mut(id) else { return };
         let Some(response_sender) = &request.response_sender else { return };
-        let mut client_waits = response_sender.subscribe();
-        let mut abort_all = self.abort_all.subscribe();
+        let abandonment = response_sender.abandonment();
+        let abort_all = self.abort_all.subscribe();
         let sent_at = Instant::now();
         let index = request.next_attempt();
         let incoming = Rc::clone(&request.incoming);
         let deadline = timeout.map_or(incoming.deadline, |timeout| incoming.deadline.min(sent_at + timeout));
         let driver = Rc::clone(self);
         let task = spawn_local(async move {
-            let result = if *abort_all.borrow() {
-                Outcome::NotSent.into()
-            } else {
-                let attempt =
-                    driver.upstreams.attempt(upstream, &incoming.outgoing, deadline, &mut client_waits);
-                tokio::select! {
-                    result = attempt => result,
-                    _ = abort_all.wait_for(|is_set| *is_set) => Outcome::TimedOut.into(),
-                }
-            };
+            let outgoing = &incoming.outgoing;
+            let result = driver.run_attempt(upstream, outgoing, deadline, abandonment, abort_all).await;
             driver.deliver(DriverEvent::AttemptEnded { id, attempt: index, result });
         });
         tracing::debug!(id = id.0, attempt = index.0, upstream = upstream.0, "attempt");
@@ -66,6 +60,27 @@
         request.add_attempt(Attempt { upstream, sent_at, task: task.abort_handle(), is_in_flight: true });
     }
 
+    /// Makes an attempt, which ends early once `abort_all` is `true`. `abandonment` is that of
+    /// [`Upstreams::attempt`](crate::upstream::Upstreams::attempt).
+    async fn run_attempt(
+        &self,
+        upstream: UpstreamId,
+        request: &OutgoingRequest,
+        deadline: Instant,
+        mut abandonment: watch::Receiver<()>,
+        mut abort_all: watch::Receiver<bool>,
+    ) -> AttemptResult {
+        if *abort_all.borrow() {
+            Outcome::NotSent.into()
+        } else {
+            let attempt = self.upstreams.attempt(upstream, request, deadline, &mut abandonment);
+            tokio::select! {
+                result = attempt => result,
+                _ = abort_all.wait_for(|is_set| *is_set) => Outcome::TimedOut.into(),
+            }
+        }
+    }
+
     /// Stops an attempt. Its end is queued behind the events that have already happened.
     fn cancel_attempt(&self, core: &mut Core, id: RequestId, index: AttemptIndex) {
         let Some(request) = core.requests.get_mut(id) else { return };
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -25,19 +25,20 @@
     response: oneshot::Sender<FinalResponse>,
     /// Dropping it tells the attempts that nobody waits any more: a request that has not been sent completely by then
     /// is not sent.
-    client_waits: watch::Sender<()>,
+    abandonment_guard: watch::Sender<()>,
 }
 
 impl ResponseSender {
     /// A sender, and where its response arrives.
     pub(super) fn new() -> (Self, oneshot::Receiver<FinalResponse>) {
         let (response, receiver) = oneshot::channel();
-        (Self { response, client_waits: watch::Sender::new(()) }, receiver)
+        (Self { response, abandonment_guard: watch::Sender::new(()) }, receiver)
     }
 
-    /// A channel that closes when nobody waits for the response any more.
-    pub(super) fn subscribe(&self) -> watch::Receiver<()> {
-        self.client_waits.subscribe()
+    /// A channel that closes when nobody waits for the response any more. Its `changed()` resolves with an error once
+    /// the sender is dropped; no value is ever sent.
+    pub(super) fn abandonment(&self) -> watch::Receiver<()> {
+        self.abandonment_guard.subscribe()
     }
 
     /// Sends the final response.
@@ -57,7 +58,7 @@
 }
 
 impl InFlightRequest {
-    /// The index that the next attempt gets. It does not wrap: the settings allow at most 255 attempts.
+    /// The index that the next attempt gets. `Settings::max_attempts` is a `u8`, so the index does not wrap.
     pub(super) fn next_attempt(&self) -> AttemptIndex {
         AttemptIndex(self.attempts.len() as u8)
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -57,19 +57,20 @@
 impl Upstreams {
     /// Sends a request to an upstream and waits for the response until `deadline`.
     ///
-    /// The requester holds the sender of `abandoned` and drops it when it no longer wants the response. If that
-    /// happens before the whole request is written, the attempt ends with [`Outcome::NotSent`]; otherwise the
-    /// response is still waited for.
+    /// The requester holds the sender of `abandonment` and drops it when it no longer wants the response: its
+    /// `changed()` resolves with an error once the sender is dropped; no value is ever sent. If that happens before
+    /// the whole request is written, the attempt ends with [`Outcome::NotSent`]; otherwise the response is still
+    /// waited for.
     pub async fn attempt(
         &self,
         id: UpstreamId,
         request: &OutgoingRequest,
         deadline: Instant,
-        abandoned: &mut watch::Receiver<()>,
+        abandonment: &mut watch::Receiver<()>,
     ) -> AttemptResult {
         let Some(upstream) = self.get(id) else { return Outcome::NotSent.into() };
         loop {
-            let result = self.attempt_on_one_connection(id, &upstream, request, deadline, abandoned).await;
+            let result = self.attempt_on_one_connection(id, &upstream, request, deadline, abandonment).await;
             if let Some(result) = result {
                 return result;
             }
@@ -84,11 +85,11 @@
         upstream: &Upstream,
         request: &OutgoingRequest,
         deadline: Instant,
-        abandoned: &mut watch::Receiver<()>,
+        abandonment: &mut watch::Receiver<()>,
     ) -> Option<AttemptResult> {
         let checked_out = tokio::select! {
             biased;
-            _ = abandoned.changed() => Err(Outcome::NotSent),
+            _ = abandonment.changed() => Err(Outcome::NotSent),
             checked_out = self.check_out(id, upstream, deadline) => checked_out,
         };
         let mut checked_out = match checked_out {
@@ -97,7 +98,10 @@
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
         // The upstream may have begun to drain while the connection was made.
-        let ready = self.may_send(id, upstream);
+        let ready = upstream.ready.get();
+        if !ready {
+            self.record_withheld(id);
+        }
         if !ready || time_left.is_zero() {
             self.check_in(id, upstream, checked_out);
             return Some(Outcome::NotSent.into());
@@ -105,7 +109,7 @@
         let request = request.to_http(time_left);
         let progress = RequestProgress::new(&checked_out.connection, &request);
         let connection = &mut checked_out.connection;
-        match self.exchange_unless_abandoned(connection, request, &progress, deadline, abandoned).await {
+        match self.exchange_unless_abandoned(connection, request, &progress, deadline, abandonment).await {
             ExchangeEnd::Completed(response) => {
                 // If the response came before the whole request was written, the rest of the request would
                 // precede the next one.
@@ -124,14 +128,10 @@
         }
     }
 
-    /// Whether the upstream still takes requests. Logs and counts an attempt that is withheld because it does not.
-    fn may_send(&self, id: UpstreamId, upstream: &Upstream) -> bool {
-        let ready = upstream.ready.get();
-        if !ready {
-            tracing::debug!(upstream = id.0, "attempt withheld: upstream is draining or removed");
-            self.metrics.withheld_attempts.inc();
-        }
-        ready
+    /// Logs and counts an attempt that is withheld because its upstream takes no requests any more.
+    fn record_withheld(&self, id: UpstreamId) {
+        tracing::debug!(upstream = id.0, "attempt withheld: upstream is draining or removed");
+        self.metrics.withheld_attempts.inc();
     }
 
     /// Sends a request and waits for the response until `deadline`, or until the requester is gone and the
@@ -142,14 +142,14 @@
         request: Request<Full<Bytes>>,
         progress: &RequestProgress,
         deadline: Instant,
-        abandoned: &mut watch::Receiver<()>,
+        abandonment: &mut watch::Receiver<()>,
     ) -> ExchangeEnd {
         let exchange = timeout_at(deadline, exchange(connection, request, &self.large_body_budget));
         tokio::pin!(exchange);
         let result = tokio::select! {
             biased;
             result = exchange.as_mut() => result,
-            _ = abandoned.changed() => {
+            _ = abandonment.changed() => {
                 if !progress.is_complete() {
                     return ExchangeEnd::Abandoned;
                 }
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -25,9 +25,9 @@
     pub async fn check_health(&self, id: UpstreamId) -> AttemptResult {
         let request = self.health_check_request();
         // The sender lives until the end of this function: the result is always wanted.
-        let (_requester, mut abandoned) = watch::channel(());
+        let (_abandonment_guard, mut abandonment) = watch::channel(());
         let deadline = Instant::now() + HEALTH_CHECK_TIMEOUT;
-        let mut result = self.attempt(id, &request, deadline, &mut abandoned).await;
+        let mut result = self.attempt(id, &request, deadline, &mut abandonment).await;
         if let Some(response) = &result.response
             && self.load_reports.is_enabled()
             && result.load_report.is_empty()
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -90,12 +90,12 @@
         &self,
         request: OutgoingRequest,
     ) -> (watch::Sender<()>, JoinHandle<AttemptResult>) {
-        let (requester, mut abandoned) = watch::channel(());
+        let (abandonment_guard, mut abandonment) = watch::channel(());
         let upstreams = Rc::clone(&self.upstreams);
         let task = spawn_local(async move {
-            upstreams.attempt(UPSTREAM, &request, Instant::now() + LONG_TIMEOUT, &mut abandoned).await
+            upstreams.attempt(UPSTREAM, &request, Instant::now() + LONG_TIMEOUT, &mut abandonment).await
         });
-        (requester, task)
+        (abandonment_guard, task)
     }
 
     /// Accepts a connection and reads from the request on it.
@@ -142,6 +142,6 @@
 }
 
 async fn attempt(upstreams: &Upstreams, id: UpstreamId, timeout: Duration) -> AttemptResult {
-    let (_requester, mut abandoned) = watch::channel(());
-    upstreams.attempt(id, &post_request(), Instant::now() + timeout, &mut abandoned).await
+    let (_abandonment_guard, mut abandonment) = watch::channel(());
+    upstreams.attempt(id, &post_request(), Instant::now() + timeout, &mut abandonment).await
 }
