--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -1,8 +1,8 @@
-//! A time that doubles with each failure, between two bounds.
+//! A duration that doubles with each failure, within two bounds; used as a wait and as a timeout.
 
 use std::time::Duration;
 
-/// The present time and its bounds.
+/// An exponentially growing duration.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     min: Duration,
@@ -11,22 +11,22 @@
 }
 
 impl Backoff {
-    /// A backoff that begins at `min` and grows up to `max`.
+    /// A duration that begins at `min` and grows up to `max`.
     pub const fn new(min: Duration, max: Duration) -> Self {
         Self { min, max, current: min }
     }
 
-    /// The present time.
+    /// The current duration.
     pub fn current(&self) -> Duration {
         self.current
     }
 
-    /// Doubles the time, up to the maximum.
+    /// Doubles the current duration, up to the maximum.
     pub fn grow(&mut self) {
         self.current = (self.current * 2).min(self.max);
     }
 
-    /// Begins again at the minimum.
+    /// Returns to the minimum.
     pub fn reset(&mut self) {
         self.current = self.min;
     }
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -23,7 +23,8 @@
 const MIN_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time between two overlapping calls while none has a response. A call made while discovery was down may never have
-/// one, and changes count as delivered once discovery is back: the next call must follow soon.
+/// one, and changes count as delivered (see [`discovery`](crate::discovery)) once discovery is back: the next call must
+/// follow soon.
 const OVERLAPPING_CALL_INTERVAL: Duration = Duration::from_millis(200);
 /// How long an overlapping call may take to the head of its response. With [`OVERLAPPING_CALL_INTERVAL`] it bounds the
 /// descriptors in use: about ten calls are open at once.
@@ -100,8 +101,9 @@
         result.unwrap_or(Err(DiscoveryError::ResponseHeadTimeout))
     }
 
-    /// Makes a call at each [`OVERLAPPING_CALL_INTERVAL`] until one has a response, which counts, or until the only
-    /// open one fails. Nothing tells whether a response is late or will never come.
+    /// Makes a call at each [`OVERLAPPING_CALL_INTERVAL`] until one has a response, which is returned, or until a call
+    /// fails while no other is open; a call that times out is dropped and the next one follows. Nothing tells whether a
+    /// response is late or will never come.
     async fn call_overlapping(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         let mut calls = FuturesUnordered::new();
         loop {
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -26,7 +26,7 @@
 
 /// How far the first list that a watch brings since the start has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Progress {
+pub enum FirstListProgress {
     /// No watch has had a response.
     Waiting,
     /// A watch has a response, but no complete list has come.
@@ -43,7 +43,7 @@
     version: Cell<u64>,
     /// The task of the present watch, or of the last one.
     watch_task: RefCell<Option<AbortHandle>>,
-    progress: watch::Sender<Progress>,
+    progress: watch::Sender<FirstListProgress>,
     pub(super) log: Rc<RateLimitedLog>,
     pub(super) metrics: Rc<Metrics>,
 }
@@ -59,7 +59,7 @@
             reader: EndpointListReader::new(site.names.clone()),
             version: Cell::new(0),
             watch_task: RefCell::default(),
-            progress: watch::Sender::new(Progress::Waiting),
+            progress: watch::Sender::new(FirstListProgress::Waiting),
             log,
             metrics,
         }
@@ -71,14 +71,14 @@
     }
 
     /// How far the first list that a watch brings has come.
-    pub fn progress(&self) -> watch::Receiver<Progress> {
+    pub fn progress(&self) -> watch::Receiver<FirstListProgress> {
         self.progress.subscribe()
     }
 
     /// Notifies those who wait for the first list that something has come.
-    pub(super) fn advance(&self, to: Progress) {
+    pub(super) fn advance_progress(&self, to: FirstListProgress) {
         self.progress.send_if_modified(|progress| {
-            if *progress == Progress::Received {
+            if *progress == FirstListProgress::Received {
                 return false;
             }
             *progress = to;
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -38,7 +38,7 @@
     pub state: EndpointState,
 }
 
-/// An update of the endpoint list.
+/// An update of the endpoint list, from a watch or the configuration, or the failure of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
     /// How complete it is.
@@ -58,7 +58,7 @@
 pub struct EndpointList {
     /// The version.
     pub version: u64,
-    /// The entries.
+    /// The scope and the entries.
     pub update: WatchEvent,
 }
 
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch: a response of discovery that never ends, in which it sends each change of the endpoint list.
 
 use crate::discovery::call::DiscoveryResponse;
-use crate::discovery::client::{Discovery, LIST_PATH, MAX_LIST_BYTES, Progress};
+use crate::discovery::client::{Discovery, FirstListProgress, LIST_PATH, MAX_LIST_BYTES};
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::json_stream::{JsonStream, StreamItem};
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A watch without a message for this long has failed, whatever the state of its connection: discovery sends at least
-/// an empty line every 2 s. A change counts as delivered 6 s after the watch fell silent, which leaves time to find
-/// out, to find the same of the next watch, and to begin a third.
+/// an empty line every 2 s. A change counts as delivered (see [`discovery`](crate::discovery)) at the latest 6 s
+/// after the watch fell silent, which leaves time to find out, to find the same of the next watch, and to begin a third.
 pub(super) const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl Discovery {
@@ -31,7 +31,7 @@
     async fn receive_updates(&self, mut deliver: impl FnMut(WatchEvent)) -> Result<(), DiscoveryError> {
         let target = format!("{LIST_PATH}?stream=1&index={}", self.version());
         let DiscoveryResponse { connection: _connection, mut body } = self.caller.call(&target).await?;
-        self.advance(Progress::Receiving);
+        self.advance_progress(FirstListProgress::Receiving);
         let mut messages = JsonStream::new(MAX_LIST_BYTES);
         let mut last_message_at = Instant::now();
         loop {
@@ -40,7 +40,7 @@
                 timeout_at(silent_at, body.frame()).await.map_err(|_| DiscoveryError::WatchSilent)?;
             let Some(frame) = received else { return Ok(()) };
             let Ok(data) = frame?.into_data() else { continue };
-            self.advance(Progress::Receiving);
+            self.advance_progress(FirstListProgress::Receiving);
             let was_within_object = messages.is_within_object();
             messages.push(&data);
             let received_message = self
@@ -66,7 +66,7 @@
             received_message = true;
             if let StreamItem::Object(text) = item {
                 deliver(self.read(&text)?);
-                self.advance(Progress::Received);
+                self.advance_progress(FirstListProgress::Received);
             }
         }
         Ok(received_message)
--- a/crates/proxy/src/driver/endpoint_watch.rs
+++ b/crates/proxy/src/driver/endpoint_watch.rs
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, sleep};
 
 /// Backoff after a watch that ended soon after it began, where the driver begins watches by itself. It begins well
-/// below the 250 ms after which nothing new may be sent to a draining upstream: discovery counts a change as delivered
-/// although the watch broke. It grows so that calls to a discovery that is down cost little.
+/// below the 250 ms after which nothing new may be sent to a draining upstream: a change may count as delivered (see
+/// [`discovery`](crate::discovery)) although the watch broke. It grows so that calls to a discovery that is down cost little.
 pub(super) const MIN_WATCH_BACKOFF: Duration = Duration::from_millis(20);
 pub(super) const MAX_WATCH_BACKOFF: Duration = Duration::from_millis(250);
 /// A watch that has lasted this long is begun anew without backoff.
@@ -24,8 +24,9 @@
         self.discovery.replace_watch_task(watch.abort_handle());
     }
 
-    /// Delivers each update of a watch. Where the balancer polls for the list, the end of the watch is an event too,
-    /// and the balancer decides when the next one begins; otherwise the next one begins here, after a backoff.
+    /// Delivers each update of a watch. Where the balancer decides when a watch is begun (`polls_endpoints`), the end of
+    /// the watch is an event too, and the balancer begins the next one by `Action::WatchEndpoints`; otherwise the next
+    /// one begins here, after a backoff if this one ended soon.
     async fn run_watches(self: Rc<Self>) {
         let mut backoff = Backoff::new(MIN_WATCH_BACKOFF, MAX_WATCH_BACKOFF);
         loop {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -16,7 +16,7 @@
 
 pub use request::{FinalResponse, IncomingRequest};
 
-use crate::discovery::client::{Discovery, Progress};
+use crate::discovery::client::{Discovery, FirstListProgress};
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::metrics::Metrics;
 use crate::upstream::Upstreams;
@@ -55,7 +55,8 @@
     queue: EventQueue,
     upstreams: Upstreams,
     discovery: Discovery,
-    /// The balancer decides when to poll for the endpoint list. Otherwise the driver keeps a watch open by itself.
+    /// The balancer decides when a watch is begun, by [`Action::WatchEndpoints`]. Otherwise the driver keeps a watch open
+    /// by itself. Nothing is polled at intervals in either case.
     polls_endpoints: bool,
     /// `true` once all attempts have to end.
     abort_all: watch::Sender<bool>,
@@ -109,7 +110,7 @@
     }
 
     /// How far the first list that a watch brings has come.
-    pub fn discovery_progress(&self) -> watch::Receiver<Progress> {
+    pub fn discovery_progress(&self) -> watch::Receiver<FirstListProgress> {
         self.discovery.progress()
     }
 
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,7 +1,7 @@
 //! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept clients.
 
 use crate::config::{Config, ConfigError};
-use crate::discovery::client::{Discovery, Progress};
+use crate::discovery::client::{Discovery, FirstListProgress};
 use crate::downstream::listener::Listener;
 use crate::driver::Driver;
 use crate::lifecycle::LifecyclePhase;
@@ -130,14 +130,15 @@
     Ok(socket)
 }
 
-/// Waits for discovery's first complete message, as long as something arrives. Only used where discovery pushes its
-/// list: one that has to be polled may be overloaded by all processes that start at the same time.
+/// Waits for discovery's first complete message, as long as something arrives. Not used where the balancer decides
+/// when a watch is begun (`Settings::poll_endpoints`): discovery may be overloaded there by all processes that start at
+/// the same time.
 async fn wait_for_first_list(driver: &Driver) {
     let mut progress = driver.discovery_progress();
     let first_list = async {
         loop {
             match timeout(FIRST_LIST_SILENCE_TIMEOUT, progress.changed()).await {
-                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Received => return true,
+                Ok(Ok(())) if *progress.borrow_and_update() == FirstListProgress::Received => return true,
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return false,
             }
