--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -19,7 +19,7 @@
     /// update that comes is passed to `deliver`.
     pub async fn watch(&self, deliver: impl FnMut(WatchEvent)) {
         let result = self.receive_updates(deliver).await;
-        self.metrics.discovery_failures.inc();
+        self.metrics.watches_ended.inc();
         match result {
             Ok(()) => tracing::info!(version = self.version(), "watch ended by discovery"),
             Err(e) => self.log.warn(|skipped| {
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -24,8 +24,9 @@
             Action::Fail { id } => self.finish_request(core, id, FinalResponse::Failed),
             Action::SetTimer { after, timer } => self.set_timer(after, timer),
             Action::WatchEndpoints => self.watch_endpoints(),
-            Action::FetchEndpoints => self.fetch_endpoints(),
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
+            // The actions from here on are not emitted by the present core.
+            Action::FetchEndpoints => self.fetch_endpoints(),
             Action::CheckHealth { upstream } => self.check_health(upstream),
             Action::Log { line } => tracing::info!("{line}"),
         }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -32,7 +32,7 @@
     /// Reports that it is not ready, but still accepts connections and serves requests on them, because the balancer
     /// that replaces it may have only just started.
     LameDuck,
-    /// Accepts no new connections; open ones end between two requests.
+    /// Accepts no new connections but those that already wait in the backlog; open ones end between two requests.
     Draining,
 }
 
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -96,12 +96,12 @@
     pub requests: Counter,
     /// Attempts after the first one of their request.
     pub retries_and_hedges: Counter,
-    /// Attempts not sent because their upstream had begun to drain or was removed meanwhile.
+    /// Attempts and health checks withheld because the upstream stopped being ready while a connection was obtained.
     pub withheld_attempts: Counter,
     /// Calls to discovery that were begun.
     pub discovery_calls: Counter,
-    /// Watches that ended, whether discovery ended them or they failed.
-    pub discovery_failures: Counter,
+    /// Watches that discovery ended or that failed. One aborted by a move of discovery does not count.
+    pub watches_ended: Counter,
     /// Endpoint lists and changes of them that were read.
     pub endpoint_lists: Counter,
     /// Their size.
@@ -120,7 +120,7 @@
             retries_and_hedges: Counter::default(),
             withheld_attempts: Counter::default(),
             discovery_calls: Counter::default(),
-            discovery_failures: Counter::default(),
+            watches_ended: Counter::default(),
             endpoint_lists: Counter::default(),
             endpoint_list_bytes: Counter::default(),
             endpoint_list_version: Gauge::default(),
@@ -138,9 +138,13 @@
         let counters = [
             ("requests", "Requests handed to the balancer", &self.requests),
             ("retries_and_hedges", "Attempts after the first of their request", &self.retries_and_hedges),
-            ("withheld_attempts", "Attempts not sent to a draining upstream", &self.withheld_attempts),
+            (
+                "withheld_attempts",
+                "Attempts and health checks withheld from an upstream that stopped being ready",
+                &self.withheld_attempts,
+            ),
             ("discovery_calls", "Calls to discovery", &self.discovery_calls),
-            ("discovery_failures", "Watches that ended or failed", &self.discovery_failures),
+            ("watches_ended", "Watches that discovery ended or that failed", &self.watches_ended),
             ("endpoint_lists", "Endpoint lists and changes read", &self.endpoint_lists),
             ("endpoint_list_bytes", "Bytes of endpoint lists and changes", &self.endpoint_list_bytes),
         ];
@@ -177,7 +181,7 @@
             let current = parse_samples(&self.render());
             let changed = changed_samples(&previous, &current);
             if !changed.is_empty() {
-                tracing::info!("counters: {}", changed.join(" "));
+                tracing::info!(metrics = %changed.join(" "), "metrics changed");
             }
             previous = current;
         }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -12,10 +12,10 @@
         hangup.received().await;
         match Config::from_env() {
             Ok(config) => {
-                tracing::info!(discovery = %config.discovery, "configuration read anew");
+                tracing::info!(discovery = %config.discovery, "configuration reloaded");
                 driver.discovery_moved(config.discovery);
             }
-            Err(error) => tracing::warn!(%error, "the configuration stays as it is"),
+            Err(error) => tracing::warn!(%error, "configuration reload failed"),
         }
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -24,7 +24,7 @@
 /// How long a new process waits for discovery's first complete message before it serves the configured list. A long
 /// list takes time to read.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long it waits while nothing arrives from discovery, whose agent is on this machine.
+/// How long it waits without progress. Discovery's agent runs on this machine, so silence means that it is down.
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often the address is tried: what occupies it may go away in a moment.
 const BIND_ATTEMPTS: usize = 20;
@@ -67,7 +67,8 @@
     pub accept_loop: JoinHandle<()>,
 }
 
-/// Starts a proxy. Returns once clients can connect; fails where the settings, the signals or the address do.
+/// Starts a proxy. Returns once clients can connect. Fails if the settings are invalid, a signal handler cannot be
+/// registered or the address cannot be bound or listened on.
 pub async fn start(config: &Config) -> Result<RunningProxy, StartupError> {
     let balancer = Balancer::new(config.site.settings.clone(), config.seed).map_err(InvalidSettings)?;
     // Both handlers are set before anybody can know that this process is ready: unhandled, the signals would kill it.
--- a/crates/proxy/tests/common/log_text.rs
+++ b/crates/proxy/tests/common/log_text.rs
@@ -3,9 +3,9 @@
 /// Precedes the address that the proxy listens at.
 pub const LISTEN_FIELD: &str = "listen=";
 /// A configuration file could not be read or is invalid.
-pub const CONFIGURATION_REJECTED: &str = "stays as it is";
+pub const CONFIGURATION_REJECTED: &str = "configuration reload failed";
 /// A configuration file was read again.
-pub const CONFIGURATION_RELOADED: &str = "read anew";
+pub const CONFIGURATION_RELOADED: &str = "configuration reloaded";
 /// A watch has ended.
 pub const WATCH_ENDED: &str = "watch ended";
 /// A call to discovery took too long.
