--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -34,8 +34,8 @@
     pub seed: u64,
     /// The resources that the process may use.
     pub limits: Limits,
-    /// The last known endpoint list in discovery's JSON form; empty if there is none.
-    pub known_endpoints: String,
+    /// The cached endpoint list in discovery's JSON form; empty if there is none.
+    pub cached_endpoints: String,
     /// The balancer's settings, with the names of classes and tenants.
     pub site: Site,
 }
@@ -137,7 +137,7 @@
             discovery: raw.discovery,
             seed,
             limits: raw.limits,
-            known_endpoints: raw.known.map_or_else(String::new, |known| known.get().to_owned()),
+            cached_endpoints: raw.known.map_or_else(String::new, |cached| cached.get().to_owned()),
             site,
         })
     }
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     let total = config.max_upstream_connections() + config.max_client_connections() + RESERVED_DESCRIPTORS;
     assert_eq!(total, 1024);
-    assert!(config.known_endpoints.contains("targets"));
+    assert!(config.cached_endpoints.contains("targets"));
 }
 
 #[test]
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -65,11 +65,6 @@
         }
     }
 
-    /// The metrics that this client counts in.
-    pub fn metrics(&self) -> &Rc<Metrics> {
-        &self.metrics
-    }
-
     /// How far the first list that a watch brings has come.
     pub fn progress(&self) -> watch::Receiver<FirstListProgress> {
         self.progress.subscribe()
@@ -104,7 +99,7 @@
         Ok(list.update)
     }
 
-    /// Reads the endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is unreadable is logged and
+    /// Reads the cached endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is unreadable is logged and
     /// counts as empty.
     pub fn read_cached(&self, text: &str) -> WatchEvent {
         let mut entries = Vec::new();
--- a/crates/proxy/src/downstream/listener/tests.rs
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::discovery::client::Discovery;
 use crate::discovery::endpoint_list::WatchEvent;
+use crate::metrics::Metrics;
 use crate::upstream::Upstreams;
 use balancer_core::Balancer;
 use std::io::Write;
@@ -45,14 +46,15 @@
         let site = balancer_settings::parse(&self.settings).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let discovery = Discovery::new(address, &site, Rc::default());
-        let known = match self.upstreams {
+        let metrics = Rc::<Metrics>::default();
+        let discovery = Discovery::new(address, &site, Rc::clone(&metrics));
+        let cached_endpoints = match self.upstreams {
             [] => WatchEvent::failed(),
             upstreams => discovery.read_cached(&endpoint_list(upstreams)),
         };
         let balancer = Balancer::new(site.settings.clone(), BALANCER_SEED).unwrap();
         let upstreams = Upstreams::new(&site.settings, MAX_UPSTREAM_CONNECTIONS, 0, Rc::default());
-        let driver = Driver::start(balancer, upstreams, discovery, known, true);
+        let driver = Driver::start(balancer, upstreams, discovery, cached_endpoints, true, metrics);
         let (phase, phase_receiver) = watch::channel(self.phase);
         let clients = Listener::new(driver, &site, phase_receiver);
         let accept_loop = spawn_local(clients.run(listener, self.max_connections));
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -64,16 +64,16 @@
 }
 
 impl Driver {
-    /// Starts a driver with the endpoint list of an earlier process. `polls_endpoints` is
+    /// Starts a driver with the cached endpoint list from the configuration. `polls_endpoints` is
     /// [`Settings::poll_endpoints`](balancer_core::Settings::poll_endpoints).
     pub fn start(
         balancer: Balancer,
         upstreams: Upstreams,
         discovery: Discovery,
-        cached_list: WatchEvent,
+        cached_endpoints: WatchEvent,
         polls_endpoints: bool,
+        metrics: Rc<Metrics>,
     ) -> Rc<Self> {
-        let metrics = Rc::clone(discovery.metrics());
         let core = Core { balancer, requests: InFlightRequests::default(), actions: Vec::new() };
         let driver = Rc::new(Self {
             clock: Clock::start(),
@@ -87,7 +87,7 @@
         });
         let sweeper = Rc::clone(&driver);
         spawn_local(async move { sweeper.upstreams.close_expired_periodically().await });
-        driver.deliver(DriverEvent::EndpointUpdate { update: cached_list });
+        driver.deliver(DriverEvent::EndpointUpdate { update: cached_endpoints });
         if !polls_endpoints {
             driver.watch_endpoints();
         }
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -52,11 +52,12 @@
     let settings = format!(r#"{{"classes":[{{"name":"look"}}],{discovery_settings}}}"#);
     let site = balancer_settings::parse(&settings).unwrap();
     let listener = listen().await;
-    let discovery = Discovery::new(listener.local_addr().unwrap(), &site, Rc::default());
+    let metrics = Rc::<Metrics>::default();
+    let discovery = Discovery::new(listener.local_addr().unwrap(), &site, Rc::clone(&metrics));
     let balancer = Balancer::new(site.settings.clone(), SEED).unwrap();
     let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
     let polls_endpoints = site.settings.poll_endpoints;
-    (Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), polls_endpoints), listener)
+    (Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), polls_endpoints, metrics), listener)
 }
 
 /// A driver whose only upstream is at this socket, with one connection to it at the most. Attempts are never cancelled.
@@ -65,13 +66,14 @@
     let class = r#"{"name":"book","aim_ms":60000,"hard_limit_ms":60000,"effect":"at_most_once"}"#;
     let rest = r#""limits":{"cancelling":false},"parties":[{"name":"acme","allowance_per_s":1000.0}]"#;
     let mut site: Site = balancer_settings::parse(&format!(r#"{{"classes":[{class}],{rest}}}"#)).unwrap();
-    let discovery = Discovery::new(endpoint, &site, Rc::default());
+    let metrics = Rc::<Metrics>::default();
+    let discovery = Discovery::new(endpoint, &site, Rc::clone(&metrics));
     let entry = format!(r#"{{"uid":"s-0","endpoint":"{endpoint}","state":"Ready"}}"#);
-    let cached_list = discovery.read_cached(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
+    let cached_endpoints = discovery.read_cached(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
     site.settings.connect_timeout = LONG;
     let balancer = Balancer::new(site.settings.clone(), SEED).unwrap();
     let upstreams = Upstreams::new(&site.settings, 1, 0, Rc::default());
-    Driver::start(balancer, upstreams, discovery, cached_list, true)
+    Driver::start(balancer, upstreams, discovery, cached_endpoints, true, metrics)
 }
 
 /// Accepts the next call for a watch.
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -21,8 +21,8 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long a new process waits for discovery's first complete message before it serves the configured list. A long
-/// list takes time to read.
+/// How long a new process waits for discovery's first complete message before it serves by the cached endpoint
+/// list. A long list takes time to read.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long it waits without progress. Discovery's agent runs on this machine, so silence means that it is down.
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
@@ -92,7 +92,7 @@
     Ok(RunningProxy { terminate, driver, phase, accept_loop })
 }
 
-/// Starts the driver with the configured endpoint list.
+/// Starts the driver with the cached endpoint list.
 fn start_driver(config: &Config, balancer: Balancer, metrics: &Rc<Metrics>) -> Rc<Driver> {
     let settings = &config.site.settings;
     let upstreams = Upstreams::new(
@@ -102,14 +102,15 @@
         Rc::clone(metrics),
     );
     let discovery = Discovery::new(config.discovery, &config.site, Rc::clone(metrics));
-    let known = discovery.read_cached(&config.known_endpoints);
+    let cached_endpoints = discovery.read_cached(&config.cached_endpoints);
     tracing::info!(
-        upstreams = known.entries.len(),
+        upstreams = cached_endpoints.entries.len(),
         version = discovery.version(),
         limits = ?config.limits,
         "starting"
     );
-    Driver::start(balancer, upstreams, discovery, known, settings.poll_endpoints)
+    let metrics = Rc::clone(metrics);
+    Driver::start(balancer, upstreams, discovery, cached_endpoints, settings.poll_endpoints, metrics)
 }
 
 /// Binds a socket that does not listen yet; retries while the address is occupied.
@@ -146,6 +147,6 @@
         }
     };
     if timeout(FIRST_LIST_TIMEOUT, first_list).await != Ok(true) {
-        tracing::warn!("no endpoint list from discovery in time, serving the last known one");
+        tracing::warn!("no endpoint list from discovery in time, serving the cached one");
     }
 }
