--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -125,7 +125,7 @@
     }
 
     /// Waits until the connection is evicted or has timed out.
-    pub async fn must_close(&self) {
+    pub async fn wait_until_must_close(&self) {
         tokio::select! {
             () = self.eviction.notified() => (),
             () = self.timed_out() => (),
@@ -151,11 +151,12 @@
             ClientState::Idle => request_started_at.is_some(),
             ClientState::AwaitingResponse => return None,
         };
-        let rank = match is_reading {
-            true if age > STALL_THRESHOLD => EvictionRank::Stalled,
-            true => EvictionRank::Reading,
-            false if age > LONG_IDLE_THRESHOLD => EvictionRank::LongIdle,
-            false => EvictionRank::RecentlyIdle,
+        let rank = if is_reading {
+            if age > STALL_THRESHOLD { EvictionRank::Stalled } else { EvictionRank::Reading }
+        } else if age > LONG_IDLE_THRESHOLD {
+            EvictionRank::LongIdle
+        } else {
+            EvictionRank::RecentlyIdle
         };
         Some(EvictionPriority { rank, since })
     }
--- a/crates/proxy/src/downstream/client/tests.rs
+++ b/crates/proxy/src/downstream/client/tests.rs
@@ -22,7 +22,7 @@
 /// How long the client may go on doing what it does.
 async fn time_until_closed(client: &Client) -> Duration {
     let start = Instant::now();
-    client.must_close().await;
+    client.wait_until_must_close().await;
     start.elapsed()
 }
 
@@ -62,7 +62,7 @@
     let read_deadline = client.head_received();
 
     assert_eq!(read_deadline - Instant::now(), READ_TIMEOUT - Duration::from_millis(300));
-    client.must_close().await;
+    client.wait_until_must_close().await;
     assert_eq!(Instant::now() - read_deadline, TIMEOUT_RESPONSE_GRACE);
 }
 
@@ -77,7 +77,7 @@
     client.head_received();
     client.request_received();
 
-    let closed = tokio::time::timeout(Duration::from_secs(60), client.must_close()).await;
+    let closed = tokio::time::timeout(Duration::from_secs(60), client.wait_until_must_close()).await;
 
     assert!(closed.is_err());
     assert_eq!(rank(&client), None, "nor is it evicted");
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -59,7 +59,7 @@
     let served = async {
         tokio::select! {
             ended = connection.as_mut() => ended,
-            () = client.must_close() => close(client, connection.as_mut()).await,
+            () = client.wait_until_must_close() => close(client, connection.as_mut()).await,
             _ = phase.wait_for(|phase| *phase == LifecyclePhase::Draining) => {
                 drain(client, connection.as_mut()).await
             }
