--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -2,6 +2,7 @@
 
 use crate::downstream::client::{Client, ClientState};
 use crate::downstream::content_length::ContentLengthCounter;
+use crate::downstream::request::MAX_REQUEST_BODY_BYTES;
 use crate::socket_io;
 use bytes::BytesMut;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
@@ -17,15 +18,15 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// How often the end of a connection is looked for while its bytes must not be read ahead. Short, as a client's end has
-/// to prevent further attempts within 0.1 s.
+/// How often the end of a connection is looked for while its bytes must not be read ahead. Short, because attempts must
+/// stop within 0.1 s of a client's disconnect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Reading ahead of a response stops once this much is buffered: as much as the longest request body.
-const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_BODY_BYTES;
 /// Bytes read ahead in one call.
 const READ_AHEAD_CHUNK_BYTES: usize = 4096;
 
-/// A client's socket and what its bytes have told so far.
+/// A client's socket, the bytes read ahead from it and the count of its length headers.
 pub struct ClientSocket {
     stream: TcpStream,
     client: Rc<Client>,
@@ -62,28 +63,28 @@
             let is_awaiting_response = self.client.state() == ClientState::AwaitingResponse;
             let has_capacity = self.read_ahead.borrow().len() < MAX_READ_AHEAD_BYTES;
             if is_awaiting_response && has_capacity {
-                if self.read_ahead(&mut chunk) == StreamEnd::Closed {
+                if self.read_ahead(&mut chunk) == StreamState::Closed {
                     return;
                 }
             } else if is_awaiting_response && ready.is_read_closed() {
                 return;
             } else {
-                // Either hyper reads the bytes, or nobody for now.
+                // Either hyper reads the bytes itself, or the read-ahead buffer is full.
                 sleep(DISCONNECT_CHECK_INTERVAL).await;
             }
         }
     }
 
-    fn read_ahead(&self, chunk: &mut [u8]) -> StreamEnd {
+    fn read_ahead(&self, chunk: &mut [u8]) -> StreamState {
         match self.stream.try_read(chunk) {
-            Ok(0) => StreamEnd::Closed,
+            Ok(0) => StreamState::Closed,
             Ok(length) => {
                 self.read_ahead.borrow_mut().extend_from_slice(&chunk[..length]);
-                StreamEnd::Open
+                StreamState::Open
             }
             Err(error) => match error.kind() {
-                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted => StreamEnd::Open,
-                _ => StreamEnd::Closed,
+                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted => StreamState::Open,
+                _ => StreamState::Closed,
             },
         }
     }
@@ -100,7 +101,7 @@
 
 /// Whether more bytes may arrive.
 #[derive(PartialEq, Eq)]
-enum StreamEnd {
+enum StreamState {
     Open,
     Closed,
 }
--- a/crates/proxy/src/downstream/handler.rs
+++ b/crates/proxy/src/downstream/handler.rs
@@ -101,6 +101,6 @@
             return Err(RequestError::ConflictingLengths);
         }
         let head = self.validator.validate_head(parts)?;
-        self.validator.read_body(head, body, read_deadline).await
+        self.validator.complete(head, body, read_deadline).await
     }
 }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -21,7 +21,7 @@
 mod tests;
 
 /// The longest request body.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// Subtracted from the time that a client still waits: the transfer of the request and of the response, and the
 /// resolution of the timers.
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
@@ -61,7 +61,7 @@
     /// `X-Weight-Hint` is no number, or negative.
     #[error("unreadable X-Weight-Hint")]
     InvalidExpectedWork,
-    /// The body is longer than [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_REQUEST_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
     /// The connection failed within the body.
@@ -113,7 +113,7 @@
     fn method(&self) -> Method {
         match self.retry_safety {
             RetrySafety::Idempotent => Method::GET,
-            _ => Method::POST,
+            RetrySafety::Deduplicated { .. } | RetrySafety::AtMostOnce => Method::POST,
         }
     }
 
@@ -127,7 +127,6 @@
 pub struct RequestHead {
     class: ClassId,
     tenant: TenantId,
-    method: Method,
     time_left: Duration,
     expected_work_ms: Option<f64>,
     is_client_retry: bool,
@@ -135,6 +134,25 @@
     parts: Parts,
 }
 
+impl RequestHead {
+    /// The request for the driver, with its complete body. The client's time counts from now on.
+    fn into_incoming(self, body: Bytes) -> IncomingRequest {
+        let mut headers = self.parts.headers;
+        headers::strip_hop_by_hop(&mut headers);
+        let target = self.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
+        // The client's time counts from its last byte, so a slow upload does not shorten it.
+        let deadline = Instant::now() + self.time_left.saturating_sub(TRANSFER_ALLOWANCE);
+        IncomingRequest {
+            class: self.class,
+            tenant: self.tenant,
+            deadline,
+            expected_work_ms: self.expected_work_ms,
+            is_client_retry: self.is_client_retry,
+            outgoing: OutgoingRequest { method: self.parts.method, target, headers, body },
+        }
+    }
+}
+
 /// A valid request, complete with its body.
 pub struct ValidRequest {
     /// The request for the driver.
@@ -174,8 +192,7 @@
             return Err(RequestError::NotOneHost);
         }
         let class = self.class(parts.uri.path())?;
-        let method = class.method();
-        if parts.method != method {
+        if parts.method != class.method() {
             return Err(RequestError::MethodNotAllowed);
         }
         let correlation_id = correlation_id(headers)?;
@@ -186,7 +203,6 @@
         Ok(RequestHead {
             class: class.id,
             tenant: self.tenant(headers)?,
-            method,
             // No client waits longer than its class permits, all of its retries included.
             time_left: time_left(headers)?.min(class.deadline),
             expected_work_ms: expected_work_ms(headers)?,
@@ -197,32 +213,21 @@
     }
 
     /// Reads the body, which has to be complete by `read_deadline`, and reserves the request's correlation id.
-    pub async fn read_body(
+    pub async fn complete(
         &self,
         head: RequestHead,
         body: Incoming,
         read_deadline: Instant,
     ) -> Result<ValidRequest, RequestError> {
         let body = read_limited(body, read_deadline).await?;
-        if head.method == Method::GET && !body.is_empty() {
+        if head.parts.method == Method::GET && !body.is_empty() {
             return Err(RequestError::UnexpectedBody);
         }
-        let correlation_id =
-            self.correlation_ids.reserve(head.correlation_id).ok_or(RequestError::DuplicateCorrelationId)?;
-        let mut headers = head.parts.headers;
-        headers::strip_hop_by_hop(&mut headers);
-        let target = head.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
-        // The client's time counts from its last byte, so a slow upload does not shorten it.
-        let deadline = Instant::now() + head.time_left.saturating_sub(TRANSFER_ALLOWANCE);
-        let incoming = IncomingRequest {
-            class: head.class,
-            tenant: head.tenant,
-            deadline,
-            expected_work_ms: head.expected_work_ms,
-            is_client_retry: head.is_client_retry,
-            outgoing: OutgoingRequest { method: head.method, target, headers, body },
-        };
-        Ok(ValidRequest { incoming, correlation_id })
+        let correlation_id = self
+            .correlation_ids
+            .reserve(head.correlation_id.clone())
+            .ok_or(RequestError::DuplicateCorrelationId)?;
+        Ok(ValidRequest { incoming: head.into_incoming(body), correlation_id })
     }
 
     /// The class that the first segment of a path names.
@@ -231,7 +236,7 @@
         self.classes.get(name).ok_or(RequestError::UnknownClass)
     }
 
-    /// The tenant. Where the settings list none, all requests belong to the first.
+    /// The tenant. Where the settings list none, all requests belong to `TenantId(0)`.
     fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, RequestError> {
         let name = single_value(headers, &TENANT)?.and_then(|name| name.to_str().ok());
         match name.and_then(|name| self.tenants.get(name)) {
@@ -281,12 +286,12 @@
     Ok(first)
 }
 
-/// Reads a body of at most [`MAX_BODY_BYTES`]. One that is announced as longer is not read.
+/// Reads a body of at most [`MAX_REQUEST_BODY_BYTES`]. One that is announced as longer is not read.
 async fn read_limited(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
-    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+    if body.size_hint().lower() > MAX_REQUEST_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLong);
     }
-    match timeout_at(read_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+    match timeout_at(read_deadline, Limited::new(body, MAX_REQUEST_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
         Ok(Err(_)) => Err(RequestError::IncompleteBody),
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One request and its complete response on a connection.
 
 use crate::upstream::connection::Connection;
-use crate::upstream::response_body::{LargeBodyBudget, MAX_BODY_BYTES, read_body};
+use crate::upstream::response_body::{LargeBodyBudget, MAX_RESPONSE_BODY_BYTES, read_body};
 use balancer_core::Outcome;
 use bytes::Bytes;
 use http_body_util::{Full, LengthLimitError};
@@ -28,7 +28,7 @@
     #[error("response has both Content-Length and Transfer-Encoding")]
     ConflictingLengths,
     /// The stated length of the body exceeds the maximum.
-    #[error("response body of {length} bytes exceeds the maximum of {MAX_BODY_BYTES}")]
+    #[error("response body of {length} bytes exceeds the maximum of {MAX_RESPONSE_BODY_BYTES}")]
     BodyTooLong {
         /// The stated length in bytes.
         length: u64,
--- a/crates/proxy/src/upstream/response_body.rs
+++ b/crates/proxy/src/upstream/response_body.rs
@@ -11,9 +11,9 @@
 mod tests;
 
 /// The longest response body that is accepted. Some upstreams send bodies of several hundred KiB.
-pub const MAX_BODY_BYTES: usize = 1024 * 1024;
+pub const MAX_RESPONSE_BODY_BYTES: usize = 1024 * 1024;
 /// The longest response body that needs no reservation in the budget for large bodies.
-pub const SMALL_BODY_BYTES: usize = 64 * 1024;
+pub const MAX_SMALL_BODY_BYTES: usize = 64 * 1024;
 
 /// A limit on the bytes of all large response bodies together. A body counts from the moment its length is known
 /// to be large until the last reference to it is dropped.
@@ -75,26 +75,26 @@
     }
 }
 
-/// Reads a response body to its end. Fails if it is longer than [`MAX_BODY_BYTES`], if the budget does not allow
+/// Reads a response body to its end. Fails if it is longer than [`MAX_RESPONSE_BODY_BYTES`], if the budget does not allow
 /// for its length, or if the connection ends or sends malformed framing.
 pub async fn read_body(body: Incoming, budget: &LargeBodyBudget) -> Result<Bytes, ExchangeError> {
     let stated_length = body.size_hint().lower();
-    if stated_length > MAX_BODY_BYTES as u64 {
+    if stated_length > MAX_RESPONSE_BODY_BYTES as u64 {
         return Err(ExchangeError::BodyTooLong { length: stated_length });
     }
     let stated_length = stated_length as usize;
     let mut reservation = None;
-    if stated_length > SMALL_BODY_BYTES {
+    if stated_length > MAX_SMALL_BODY_BYTES {
         reservation = Some(reserve(budget, stated_length)?);
     }
-    let mut body = Limited::new(body, MAX_BODY_BYTES);
+    let mut body = Limited::new(body, MAX_RESPONSE_BODY_BYTES);
     let mut received = BytesMut::with_capacity(stated_length);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(ExchangeError::from_body_error)?;
         let Ok(data) = frame.into_data() else { continue };
         // A body without a stated length may grow to the maximum, which is reserved before it is received.
-        if reservation.is_none() && received.len() + data.len() > SMALL_BODY_BYTES {
-            reservation = Some(reserve(budget, MAX_BODY_BYTES)?);
+        if reservation.is_none() && received.len() + data.len() > MAX_SMALL_BODY_BYTES {
+            reservation = Some(reserve(budget, MAX_RESPONSE_BODY_BYTES)?);
         }
         received.extend_from_slice(&data);
     }
--- a/crates/proxy/src/upstream/response_body/tests.rs
+++ b/crates/proxy/src/upstream/response_body/tests.rs
@@ -15,9 +15,9 @@
 #[tokio::test(flavor = "local")]
 async fn large_bodies_are_accepted_while_the_budget_lasts_and_release_it_when_dropped() {
     let fixture = Fixture::with_max_connections(8).await;
-    let body = "y".repeat(MAX_BODY_BYTES);
+    let body = "y".repeat(MAX_RESPONSE_BODY_BYTES);
     let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let chunked = format!("{CHUNKED_HEAD}{}{LAST_CHUNK}", chunk(MAX_BODY_BYTES));
+    let chunked = format!("{CHUNKED_HEAD}{}{LAST_CHUNK}", chunk(MAX_RESPONSE_BODY_BYTES));
     let mut held_responses = Vec::new();
     for n in 0..10 {
         fixture.upstreams.close_idle(UPSTREAM);
@@ -31,7 +31,7 @@
             assert_eq!(result.outcome, Outcome::Error, "{n}");
         } else {
             let response = result.response.expect("the budget suffices");
-            assert_eq!(response.body.len(), MAX_BODY_BYTES);
+            assert_eq!(response.body.len(), MAX_RESPONSE_BODY_BYTES);
             held_responses.push(response);
         }
         if n == 5 {
@@ -44,9 +44,9 @@
 async fn a_large_body_without_a_stated_length_reserves_the_maximum_while_it_is_received() {
     let fixture = Fixture::with_max_connections(8).await;
     let budget = &fixture.upstreams.large_body_budget;
-    let all_but_one = (MAX_LENGTH_BODIES_IN_BUDGET - 1) * MAX_BODY_BYTES;
+    let all_but_one = (MAX_LENGTH_BODIES_IN_BUDGET - 1) * MAX_RESPONSE_BODY_BYTES;
     let _other_bodies = budget.reserve(all_but_one).expect("the budget is unused");
-    let body_length = 2 * SMALL_BODY_BYTES;
+    let body_length = 2 * MAX_SMALL_BODY_BYTES;
     let beginning = format!("{CHUNKED_HEAD}{}", chunk(body_length));
 
     let first = fixture.spawn_attempt(UPSTREAM);
@@ -68,6 +68,6 @@
     respond(&mut first_stream, LAST_CHUNK).await;
     let response = first.await.unwrap().response.expect("the first has its reservation");
     assert_eq!(response.body.len(), body_length);
-    let rest = budget.reserve(MAX_BODY_BYTES - body_length);
+    let rest = budget.reserve(MAX_RESPONSE_BODY_BYTES - body_length);
     assert!(rest.is_some(), "what the first did not need is released");
 }
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -1,6 +1,6 @@
 //! What the tests of upstreams share: a set with one upstream, played by a listener on loopback.
 
-use crate::upstream::response_body::MAX_BODY_BYTES;
+use crate::upstream::response_body::MAX_RESPONSE_BODY_BYTES;
 use crate::upstream::{AttemptResult, EndpointState, OutgoingRequest, Upstreams};
 use balancer_core::{Availability, Settings, UpstreamId};
 use bytes::Bytes;
@@ -44,7 +44,7 @@
             connection_idle_timeout: LONG_TIMEOUT,
             ..Settings::default()
         };
-        let budget = MAX_LENGTH_BODIES_IN_BUDGET * MAX_BODY_BYTES;
+        let budget = MAX_LENGTH_BODIES_IN_BUDGET * MAX_RESPONSE_BODY_BYTES;
         let upstreams = Rc::new(Upstreams::new(&settings, max_connections, budget, Rc::default()));
         let address = Some(listener.local_addr().unwrap());
         let state = EndpointState { address, availability: Availability::Ready, started_at_unix_ms: 0 };
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -6,7 +6,7 @@
 use common::*;
 
 /// The largest body that the proxy accepts.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// The length and the body of a request with the body `x`.
 const LENGTH_AND_BODY: &str = "Content-Length: 1\r\n\r\nx";
 
@@ -61,7 +61,7 @@
         let is_client_error = (400..500).contains(&response.status()) && response.status() != 429;
         assert!(is_client_error, "{malformed:?}: {response:?}");
     }
-    let too_long = "y".repeat(MAX_BODY_BYTES + 1);
+    let too_long = "y".repeat(MAX_REQUEST_BODY_BYTES + 1);
     let response = proxy.connect().exchange(&chunked_request(&valid, &too_long));
     assert_eq!(response.status(), 413);
     proxy.connect().send("\u{1}\u{2} nonsense\r\n\r\n");
