--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -99,8 +99,8 @@
         Ok(list.update)
     }
 
-    /// Reads the cached endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is unreadable is logged and
-    /// counts as empty.
+    /// Reads the cached endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is unreadable is
+    /// logged and counts as empty.
     pub fn read_cached(&self, text: &str) -> WatchEvent {
         let mut entries = Vec::new();
         if !text.is_empty() {
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -6,7 +6,7 @@
 //! - Where discovery pushes its list to an agent on this machine (`Settings::poll_endpoints` is `false`): once the agent
 //!   has the change, whether or not a watch is open. After a move of discovery by SIGHUP, 4 s later.
 //! - Elsewhere: once discovery has written the change to this balancer. Without a watch, a balancer that has not called
-//!   for `Settings::poll_interval` is also held to know what was listed that long ago.
+//!   for `Settings::poll_interval` (longer after a failed call) is also held to know what was listed that long ago.
 //! - In both cases at the latest 6 s after the watch that misses it fell silent, and at the latest 6 s after discovery
 //!   had the change and could be reached.
 
--- a/crates/proxy/src/driver/endpoint_watch.rs
+++ b/crates/proxy/src/driver/endpoint_watch.rs
@@ -11,7 +11,8 @@
 
 /// Backoff after a watch that ended soon after it began, where the driver begins watches by itself. It begins well
 /// below the 250 ms after which nothing new may be sent to a draining upstream: a change may count as delivered (see
-/// [`discovery`](crate::discovery)) although the watch broke. It grows so that calls to a discovery that is down cost little.
+/// [`discovery`](crate::discovery)) although the watch broke. It grows so that calls to a discovery that is down cost
+/// little.
 pub(super) const MIN_WATCH_BACKOFF: Duration = Duration::from_millis(20);
 pub(super) const MAX_WATCH_BACKOFF: Duration = Duration::from_millis(250);
 /// A watch that has lasted this long is begun anew without backoff.
--- a/crates/proxy/src/upstream/attempt/tests.rs
+++ b/crates/proxy/src/upstream/attempt/tests.rs
@@ -24,14 +24,14 @@
 #[tokio::test(flavor = "local")]
 async fn an_abandoned_attempt_is_sent_only_if_it_was_completely_written() {
     let fixture = Fixture::with_max_connections(1).await;
-    let (requester, completely_written) = fixture.spawn_attempt_with_requester(post_request());
+    let (abandonment_guard, completely_written) = fixture.spawn_abandonable_attempt(post_request());
     let mut stream = fixture.accept_request().await;
-    drop(requester);
+    drop(abandonment_guard);
 
     // The only connection is in use.
-    let (requester, waiting_for_connection) = fixture.spawn_attempt_with_requester(post_request());
+    let (abandonment_guard, waiting_for_connection) = fixture.spawn_abandonable_attempt(post_request());
     yield_now().await;
-    drop(requester);
+    drop(abandonment_guard);
     assert_eq!(waiting_for_connection.await.unwrap().outcome, Outcome::NotSent);
 
     respond(&mut stream, EMPTY_RESPONSE).await;
@@ -39,8 +39,8 @@
 
     // Far more than the kernel accepts while nobody reads.
     let large_request = OutgoingRequest { body: Bytes::from(vec![0; 64 << 20]), ..post_request() };
-    let (requester, partly_written) = fixture.spawn_attempt_with_requester(large_request);
+    let (abandonment_guard, partly_written) = fixture.spawn_abandonable_attempt(large_request);
     assert!(stream.read(&mut [0; 1]).await.unwrap() > 0, "the request has begun");
-    drop(requester);
+    drop(abandonment_guard);
     assert_eq!(partly_written.await.unwrap().outcome, Outcome::NotSent);
 }
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -85,8 +85,8 @@
         spawn_local(async move { attempt(&upstreams, id, LONG_TIMEOUT).await })
     }
 
-    /// Starts an attempt of a requester that abandons it by dropping the sender.
-    pub fn spawn_attempt_with_requester(
+    /// Starts an attempt that is abandoned by dropping the returned sender.
+    pub fn spawn_abandonable_attempt(
         &self,
         request: OutgoingRequest,
     ) -> (watch::Sender<()>, JoinHandle<AttemptResult>) {
