--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -2,7 +2,7 @@
 
 use crate::downstream::correlation_ids::{CorrelationIds, ReservedId};
 use crate::driver::IncomingRequest;
-use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
+use crate::headers::{self, CLIENT_RETRY, CORRELATION_ID, EXPECTED_WORK, IDEMPOTENCY_KEY, TENANT, TIME_LEFT};
 use crate::upstream::OutgoingRequest;
 use balancer_core::{ClassId, RetrySafety, TenantId};
 use balancer_settings::Site;
@@ -21,7 +21,7 @@
 mod tests;
 
 /// The longest request body.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// Subtracted from the time that a client still waits: the transfer of the request and of the response, and the
 /// resolution of the timers.
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
@@ -54,14 +54,14 @@
     MissingIdempotencyKey,
     /// `X-Account` names no tenant of the settings.
     #[error("unknown account")]
-    UnknownAccount,
+    UnknownTenant,
     /// `X-Time-Left-Ms` is missing or no whole number.
     #[error("no readable X-Time-Left-Ms")]
     InvalidTimeLeft,
     /// `X-Weight-Hint` is no number, or negative.
     #[error("unreadable X-Weight-Hint")]
-    InvalidWeightHint,
-    /// The body is longer than [`MAX_BODY_BYTES`].
+    InvalidExpectedWork,
+    /// The body is longer than [`MAX_REQUEST_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
     /// The connection failed within the body.
@@ -84,7 +84,7 @@
         match self {
             Self::UnknownClass => StatusCode::NOT_FOUND,
             Self::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
-            Self::UnknownAccount => StatusCode::FORBIDDEN,
+            Self::UnknownTenant => StatusCode::FORBIDDEN,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::DuplicateCorrelationId => StatusCode::CONFLICT,
@@ -94,7 +94,7 @@
             | Self::InvalidCorrelationId
             | Self::MissingIdempotencyKey
             | Self::InvalidTimeLeft
-            | Self::InvalidWeightHint
+            | Self::InvalidExpectedWork
             | Self::IncompleteBody
             | Self::UnexpectedBody => StatusCode::BAD_REQUEST,
         }
@@ -113,7 +113,7 @@
     fn method(&self) -> Method {
         match self.retry_safety {
             RetrySafety::Idempotent => Method::GET,
-            _ => Method::POST,
+            RetrySafety::Deduplicated { .. } | RetrySafety::AtMostOnce => Method::POST,
         }
     }
 
@@ -127,7 +127,6 @@
 pub struct RequestHead {
     class: ClassId,
     tenant: TenantId,
-    method: Method,
     time_left: Duration,
     expected_work_ms: Option<f64>,
     is_client_retry: bool,
@@ -135,6 +134,25 @@
     parts: Parts,
 }
 
+impl RequestHead {
+    /// The request for the driver, with its complete body. The client's time counts from now on.
+    fn into_incoming(self, body: Bytes) -> IncomingRequest {
+        let mut headers = self.parts.headers;
+        headers::strip_hop_by_hop(&mut headers);
+        let target = self.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
+        // The client's time counts from its last byte, so a slow upload does not shorten it.
+        let deadline = Instant::now() + self.time_left.saturating_sub(TRANSFER_ALLOWANCE);
+        IncomingRequest {
+            class: self.class,
+            tenant: self.tenant,
+            deadline,
+            expected_work_ms: self.expected_work_ms,
+            is_client_retry: self.is_client_retry,
+            outgoing: OutgoingRequest { method: self.parts.method, target, headers, body },
+        }
+    }
+}
+
 /// A valid request, complete with its body.
 pub struct ValidRequest {
     /// The request for the driver.
@@ -174,8 +192,7 @@
             return Err(RequestError::NotOneHost);
         }
         let class = self.class(parts.uri.path())?;
-        let method = class.method();
-        if parts.method != method {
+        if parts.method != class.method() {
             return Err(RequestError::MethodNotAllowed);
         }
         let correlation_id = correlation_id(headers)?;
@@ -186,43 +203,31 @@
         Ok(RequestHead {
             class: class.id,
             tenant: self.tenant(headers)?,
-            method,
             // No client waits longer than its class permits, all of its retries included.
             time_left: time_left(headers)?.min(class.deadline),
             expected_work_ms: expected_work_ms(headers)?,
-            is_client_retry: headers.get(REPEAT).is_some_and(|value| value.as_bytes() == b"1"),
+            is_client_retry: headers.get(CLIENT_RETRY).is_some_and(|value| value.as_bytes() == b"1"),
             correlation_id,
             parts,
         })
     }
 
     /// Reads the body, which has to be complete by `read_deadline`, and reserves the request's correlation id.
-    pub async fn read_body(
+    pub async fn complete(
         &self,
         head: RequestHead,
         body: Incoming,
         read_deadline: Instant,
     ) -> Result<ValidRequest, RequestError> {
         let body = read_limited(body, read_deadline).await?;
-        if head.method == Method::GET && !body.is_empty() {
+        if head.parts.method == Method::GET && !body.is_empty() {
             return Err(RequestError::UnexpectedBody);
         }
-        let correlation_id =
-            self.correlation_ids.reserve(head.correlation_id).ok_or(RequestError::DuplicateCorrelationId)?;
-        let mut headers = head.parts.headers;
-        headers::strip_hop_by_hop(&mut headers);
-        let target = head.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
-        // The client's time counts from its last byte, so a slow upload does not shorten it.
-        let deadline = Instant::now() + head.time_left.saturating_sub(TRANSFER_ALLOWANCE);
-        let incoming = IncomingRequest {
-            class: head.class,
-            tenant: head.tenant,
-            deadline,
-            expected_work_ms: head.expected_work_ms,
-            is_client_retry: head.is_client_retry,
-            outgoing: OutgoingRequest { method: head.method, target, headers, body },
-        };
-        Ok(ValidRequest { incoming, correlation_id })
+        let correlation_id = self
+            .correlation_ids
+            .reserve(head.correlation_id.clone())
+            .ok_or(RequestError::DuplicateCorrelationId)?;
+        Ok(ValidRequest { incoming: head.into_incoming(body), correlation_id })
     }
 
     /// The class that the first segment of a path names.
@@ -231,13 +236,13 @@
         self.classes.get(name).ok_or(RequestError::UnknownClass)
     }
 
-    /// The tenant. Where the settings list none, all requests belong to the first.
+    /// The tenant. Where the settings list none, all requests belong to `TenantId(0)`.
     fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, RequestError> {
-        let name = single_value(headers, &ACCOUNT)?.and_then(|name| name.to_str().ok());
+        let name = single_value(headers, &TENANT)?.and_then(|name| name.to_str().ok());
         match name.and_then(|name| self.tenants.get(name)) {
             Some(tenant) => Ok(*tenant),
             None if self.tenants.is_empty() => Ok(TenantId(0)),
-            None => Err(RequestError::UnknownAccount),
+            None => Err(RequestError::UnknownTenant),
         }
     }
 }
@@ -259,12 +264,12 @@
 
 /// The client's estimate of the request's work, if it states one.
 fn expected_work_ms(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
-    let Some(hint) = single_value(headers, &WEIGHT_HINT)? else { return Ok(None) };
+    let Some(hint) = single_value(headers, &EXPECTED_WORK)? else { return Ok(None) };
     match hint.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok()) {
         Some(microseconds) if microseconds.is_finite() && microseconds >= 0.0 => {
             Ok(Some(microseconds / MICROSECONDS_PER_MILLISECOND))
         }
-        _ => Err(RequestError::InvalidWeightHint),
+        _ => Err(RequestError::InvalidExpectedWork),
     }
 }
 
@@ -281,12 +286,12 @@
     Ok(first)
 }
 
-/// Reads a body of at most [`MAX_BODY_BYTES`]. One that is announced as longer is not read.
+/// Reads a body of at most [`MAX_REQUEST_BODY_BYTES`]. One that is announced as longer is not read.
 async fn read_limited(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
-    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+    if body.size_hint().lower() > MAX_REQUEST_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLong);
     }
-    match timeout_at(read_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+    match timeout_at(read_deadline, Limited::new(body, MAX_REQUEST_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
         Ok(Err(_)) => Err(RequestError::IncompleteBody),
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -16,7 +16,7 @@
 
 pub use request::{FinalResponse, IncomingRequest};
 
-use crate::discovery::client::{Discovery, Progress};
+use crate::discovery::client::{Discovery, FirstListProgress};
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::metrics::Metrics;
 use crate::upstream::Upstreams;
@@ -55,7 +55,8 @@
     queue: EventQueue,
     upstreams: Upstreams,
     discovery: Discovery,
-    /// The balancer decides when to poll for the endpoint list. Otherwise the driver keeps a watch open by itself.
+    /// The balancer decides when a watch is begun, by [`Action::WatchEndpoints`]. Otherwise the driver keeps a watch open
+    /// by itself. Nothing is polled at intervals in either case.
     polls_endpoints: bool,
     /// `true` once all attempts have to end.
     abort_all: watch::Sender<bool>,
@@ -63,16 +64,16 @@
 }
 
 impl Driver {
-    /// Starts a driver with the endpoint list of an earlier process. `polls_endpoints` is
+    /// Starts a driver with the cached endpoint list from the configuration. `polls_endpoints` is
     /// [`Settings::poll_endpoints`](balancer_core::Settings::poll_endpoints).
     pub fn start(
         balancer: Balancer,
         upstreams: Upstreams,
         discovery: Discovery,
-        cached_list: WatchEvent,
+        cached_endpoints: WatchEvent,
         polls_endpoints: bool,
+        metrics: Rc<Metrics>,
     ) -> Rc<Self> {
-        let metrics = Rc::clone(discovery.metrics());
         let core = Core { balancer, requests: InFlightRequests::default(), actions: Vec::new() };
         let driver = Rc::new(Self {
             clock: Clock::start(),
@@ -86,7 +87,7 @@
         });
         let sweeper = Rc::clone(&driver);
         spawn_local(async move { sweeper.upstreams.close_expired_periodically().await });
-        driver.deliver(DriverEvent::EndpointUpdate { update: cached_list });
+        driver.deliver(DriverEvent::EndpointUpdate { update: cached_endpoints });
         if !polls_endpoints {
             driver.watch_endpoints();
         }
@@ -109,7 +110,7 @@
     }
 
     /// How far the first list that a watch brings has come.
-    pub fn discovery_progress(&self) -> watch::Receiver<Progress> {
+    pub fn discovery_progress(&self) -> watch::Receiver<FirstListProgress> {
         self.discovery.progress()
     }
 
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,7 +1,7 @@
 //! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept clients.
 
 use crate::config::{Config, ConfigError};
-use crate::discovery::client::{Discovery, Progress};
+use crate::discovery::client::{Discovery, FirstListProgress};
 use crate::downstream::listener::Listener;
 use crate::driver::Driver;
 use crate::lifecycle::LifecyclePhase;
@@ -21,10 +21,10 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long a new process waits for discovery's first complete message before it serves the configured list. A long
-/// list takes time to read.
+/// How long a new process waits for discovery's first complete message before it serves by the cached endpoint
+/// list. A long list takes time to read.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long it waits while nothing arrives from discovery, whose agent is on this machine.
+/// How long it waits without progress. Discovery's agent runs on this machine, so silence means that it is down.
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often the address is tried: what occupies it may go away in a moment.
 const BIND_ATTEMPTS: usize = 20;
@@ -67,7 +67,8 @@
     pub accept_loop: JoinHandle<()>,
 }
 
-/// Starts a proxy. Returns once clients can connect; fails where the settings, the signals or the address do.
+/// Starts a proxy. Returns once clients can connect. Fails if the settings are invalid, a signal handler cannot be
+/// registered or the address cannot be bound or listened on.
 pub async fn start(config: &Config) -> Result<RunningProxy, StartupError> {
     let balancer = Balancer::new(config.site.settings.clone(), config.seed).map_err(InvalidSettings)?;
     // Both handlers are set before anybody can know that this process is ready: unhandled, the signals would kill it.
@@ -91,7 +92,7 @@
     Ok(RunningProxy { terminate, driver, phase, accept_loop })
 }
 
-/// Starts the driver with the configured endpoint list.
+/// Starts the driver with the cached endpoint list.
 fn start_driver(config: &Config, balancer: Balancer, metrics: &Rc<Metrics>) -> Rc<Driver> {
     let settings = &config.site.settings;
     let upstreams = Upstreams::new(
@@ -101,14 +102,15 @@
         Rc::clone(metrics),
     );
     let discovery = Discovery::new(config.discovery, &config.site, Rc::clone(metrics));
-    let known = discovery.read_cached(&config.known_endpoints);
+    let cached_endpoints = discovery.read_cached(&config.cached_endpoints);
     tracing::info!(
-        upstreams = known.entries.len(),
+        upstreams = cached_endpoints.entries.len(),
         version = discovery.version(),
         limits = ?config.limits,
         "starting"
     );
-    Driver::start(balancer, upstreams, discovery, known, settings.poll_endpoints)
+    let metrics = Rc::clone(metrics);
+    Driver::start(balancer, upstreams, discovery, cached_endpoints, settings.poll_endpoints, metrics)
 }
 
 /// Binds a socket that does not listen yet; retries while the address is occupied.
@@ -130,20 +132,21 @@
     Ok(socket)
 }
 
-/// Waits for discovery's first complete message, as long as something arrives. Only used where discovery pushes its
-/// list: one that has to be polled may be overloaded by all processes that start at the same time.
+/// Waits for discovery's first complete message, as long as something arrives. Not used where the balancer decides
+/// when a watch is begun (`Settings::poll_endpoints`): discovery may be overloaded there by all processes that start at
+/// the same time.
 async fn wait_for_first_list(driver: &Driver) {
     let mut progress = driver.discovery_progress();
     let first_list = async {
         loop {
             match timeout(FIRST_LIST_SILENCE_TIMEOUT, progress.changed()).await {
-                Ok(Ok(())) if *progress.borrow_and_update() == Progress::Received => return true,
+                Ok(Ok(())) if *progress.borrow_and_update() == FirstListProgress::Received => return true,
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return false,
             }
         }
     };
     if timeout(FIRST_LIST_TIMEOUT, first_list).await != Ok(true) {
-        tracing::warn!("no endpoint list from discovery in time, serving the last known one");
+        tracing::warn!("no endpoint list from discovery in time, serving the cached one");
     }
 }
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -1,6 +1,6 @@
 //! What the tests of upstreams share: a set with one upstream, played by a listener on loopback.
 
-use crate::upstream::response_body::MAX_BODY_BYTES;
+use crate::upstream::response_body::MAX_RESPONSE_BODY_BYTES;
 use crate::upstream::{AttemptResult, EndpointState, OutgoingRequest, Upstreams};
 use balancer_core::{Availability, Settings, UpstreamId};
 use bytes::Bytes;
@@ -25,7 +25,7 @@
 /// A response without a body.
 pub const EMPTY_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A set of upstreams with one entry, and the listener at its endpoint.
+/// A set of upstreams with one entry, and the listener at its address.
 pub struct Fixture {
     /// The set.
     pub upstreams: Rc<Upstreams>,
@@ -44,15 +44,15 @@
             connection_idle_timeout: LONG_TIMEOUT,
             ..Settings::default()
         };
-        let budget = MAX_LENGTH_BODIES_IN_BUDGET * MAX_BODY_BYTES;
+        let budget = MAX_LENGTH_BODIES_IN_BUDGET * MAX_RESPONSE_BODY_BYTES;
         let upstreams = Rc::new(Upstreams::new(&settings, max_connections, budget, Rc::default()));
-        let endpoint = Some(listener.local_addr().unwrap());
-        let state = EndpointState { endpoint, availability: Availability::Ready, boot_ms: 0 };
+        let address = Some(listener.local_addr().unwrap());
+        let state = EndpointState { address, availability: Availability::Ready, started_at_unix_ms: 0 };
         upstreams.apply_entry(UPSTREAM, &state);
         Self { upstreams, listener, state }
     }
 
-    /// Adds an upstream at the same endpoint.
+    /// Adds an upstream at the same address.
     pub fn add_upstream(&self, id: UpstreamId) {
         self.upstreams.apply_entry(id, &self.state);
     }
@@ -64,8 +64,8 @@
     }
 
     /// Has the list name a new start time of the upstream.
-    pub fn set_boot_ms(&mut self, boot_ms: u64) {
-        self.state.boot_ms = boot_ms;
+    pub fn set_started_at_unix_ms(&mut self, started_at_unix_ms: u64) {
+        self.state.started_at_unix_ms = started_at_unix_ms;
         self.upstreams.apply_entry(UPSTREAM, &self.state);
     }
 
@@ -85,17 +85,17 @@
         spawn_local(async move { attempt(&upstreams, id, LONG_TIMEOUT).await })
     }
 
-    /// Starts an attempt of a requester that abandons it by dropping the sender.
-    pub fn spawn_attempt_with_requester(
+    /// Starts an attempt that is abandoned by dropping the returned sender.
+    pub fn spawn_abandonable_attempt(
         &self,
         request: OutgoingRequest,
     ) -> (watch::Sender<()>, JoinHandle<AttemptResult>) {
-        let (requester, mut abandoned) = watch::channel(());
+        let (abandonment_guard, mut abandonment) = watch::channel(());
         let upstreams = Rc::clone(&self.upstreams);
         let task = spawn_local(async move {
-            upstreams.attempt(UPSTREAM, &request, Instant::now() + LONG_TIMEOUT, &mut abandoned).await
+            upstreams.attempt(UPSTREAM, &request, Instant::now() + LONG_TIMEOUT, &mut abandonment).await
         });
-        (requester, task)
+        (abandonment_guard, task)
     }
 
     /// Accepts a connection and reads from the request on it.
@@ -142,6 +142,6 @@
 }
 
 async fn attempt(upstreams: &Upstreams, id: UpstreamId, timeout: Duration) -> AttemptResult {
-    let (_requester, mut abandoned) = watch::channel(());
-    upstreams.attempt(id, &post_request(), Instant::now() + timeout, &mut abandoned).await
+    let (_abandonment_guard, mut abandonment) = watch::channel(());
+    upstreams.attempt(id, &post_request(), Instant::now() + timeout, &mut abandonment).await
 }
