--- a/crates/core/tests/golden/main.rs
+++ b/crates/core/tests/golden/main.rs
@@ -1,9 +1,9 @@
-//! A golden test of the decisions: a generated history of events for each of several settings, and a hash over
-//! every action that a balancer returns. A change that is meant to leave the decisions as they are leaves
-//! the hashes as they are.
+//! A golden test of the decisions: a generated history of events for each of several settings, and a hash
+//! over every action that a balancer returns. A change that is meant to leave the decisions as they are
+//! leaves the hashes as they are.
 //!
-//! Only numbers enter the hashes, never a type's name, so that renaming a type changes nothing here. The end of a
-//! health check is not covered, as the balancer sends none.
+//! Only numbers enter the hashes, never a type's name, so that renaming a type changes nothing here. The end
+//! of a health check is not covered, as the balancer sends none.
 
 mod action_hash;
 mod generator;
--- a/crates/core/tests/golden/world.rs
+++ b/crates/core/tests/golden/world.rs
@@ -1,4 +1,5 @@
-//! Everything around one balancer, generated from a seed: clients, upstreams and their faults, and the list of them.
+//! Everything around one balancer, generated from a seed: clients, upstreams and their faults, and the list
+//! of them.
 
 use crate::action_hash::ActionHash;
 use crate::generator::Generator;
--- a/crates/core/tests/source_layout.rs
+++ b/crates/core/tests/source_layout.rs
@@ -1,4 +1,5 @@
-//! The deploy file names every file that decides, and each of these files stays small enough to be read whole.
+//! The deploy file names every file that decides, and each of these files stays small enough to be read
+//! whole.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -19,7 +19,8 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Fraction of the other descriptors that connections to upstreams may use; clients get the rest.
 const UPSTREAM_SOCKET_FRACTION: f64 = 0.45;
-/// Buffered responses may use one part in this many of the memory. Reading a response holds it twice for a moment.
+/// Buffered responses may use one part in this many of the memory. Reading a response holds it twice for a
+/// moment.
 const BUFFERED_RESPONSE_MEMORY_DIVISOR: usize = 5;
 const BYTES_PER_MEBIBYTE: usize = 1024 * 1024;
 
@@ -114,8 +115,8 @@
 }
 
 impl Config {
-    /// Reads the file that `NODE_CONFIG` names. Fails if the variable is not set, or if the file can't be read or
-    /// holds no valid configuration.
+    /// Reads the file that `NODE_CONFIG` names. Fails if the variable is not set, or if the file can't be
+    /// read or holds no valid configuration.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var_os(PATH_VARIABLE).map(PathBuf::from).ok_or(ConfigError::PathNotSet)?;
         let text = match std::fs::read_to_string(&path) {
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -18,16 +18,16 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Bounds of the time that a sequential call may take to the head of its response, its connection included. A busy
-/// discovery serves calls in turn, and a call that is given up loses its turn: so the time grows.
+/// Bounds of the time that a sequential call may take to the head of its response, its connection included. A
+/// busy discovery serves calls in turn, and a call that is given up loses its turn: so the time grows.
 const MIN_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time between two overlapping calls while none has a response. A call made while discovery was down may never have
-/// one, and changes count as delivered (see [`discovery`](crate::discovery)) once discovery is back: the next call must
-/// follow soon.
+/// Time between two overlapping calls while none has a response. A call made while discovery was down may
+/// never have one, and changes count as delivered (see [`discovery`](crate::discovery)) once discovery is
+/// back: the next call must follow soon.
 const OVERLAPPING_CALL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an overlapping call may take to the head of its response. With [`OVERLAPPING_CALL_INTERVAL`] it bounds the
-/// descriptors in use: about ten calls are open at once.
+/// How long an overlapping call may take to the head of its response. With [`OVERLAPPING_CALL_INTERVAL`] it
+/// bounds the descriptors in use: about ten calls are open at once.
 const OVERLAPPING_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Whether another call is made while one has no response yet.
@@ -35,7 +35,8 @@
 pub(super) enum CallStrategy {
     /// Each call ends before the next: calls are work for discovery.
     Sequential,
-    /// Calls are repeated until one has a response: calls cost nothing, while changes count as delivered meanwhile.
+    /// Calls are repeated until one has a response: calls cost nothing, while changes count as delivered
+    /// meanwhile.
     Overlapping,
 }
 
@@ -101,9 +102,9 @@
         result.unwrap_or(Err(DiscoveryError::ResponseHeadTimeout))
     }
 
-    /// Makes a call at each [`OVERLAPPING_CALL_INTERVAL`] until one has a response, which is returned, or until a call
-    /// fails while no other is open; a call that times out is dropped and the next one follows. Nothing tells whether a
-    /// response is late or will never come.
+    /// Makes a call at each [`OVERLAPPING_CALL_INTERVAL`] until one has a response, which is returned, or
+    /// until a call fails while no other is open; a call that times out is dropped and the next one follows.
+    /// Nothing tells whether a response is late or will never come.
     async fn call_overlapping(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         let mut calls = FuturesUnordered::new();
         loop {
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -19,7 +19,8 @@
 
 /// Where discovery serves the endpoint list.
 pub(super) const LIST_PATH: &str = "/registry/instances";
-/// A fetched list of more bytes is an error, and so is a list of a watch that is still incomplete after so many.
+/// A fetched list of more bytes is an error, and so is a list of a watch that is still incomplete after so
+/// many.
 pub(super) const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 /// How long the body of a fetched list may take.
 const FETCH_BODY_TIMEOUT: Duration = WATCH_SILENCE_TIMEOUT;
@@ -99,8 +100,8 @@
         Ok(list.update)
     }
 
-    /// Reads the cached endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is unreadable is
-    /// logged and counts as empty.
+    /// Reads the cached endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is
+    /// unreadable is logged and counts as empty.
     pub fn read_cached(&self, text: &str) -> WatchEvent {
         let mut entries = Vec::new();
         if !text.is_empty() {
@@ -130,7 +131,8 @@
         self.metrics.endpoint_list_version.set(self.version() as i64);
     }
 
-    /// Fetches the whole endpoint list. A failure is logged and returned as an update of [`UpdateScope::Failed`].
+    /// Fetches the whole endpoint list. A failure is logged and returned as an update of
+    /// [`UpdateScope::Failed`].
     pub async fn fetch(&self) -> WatchEvent {
         self.try_fetch().await.unwrap_or_else(|e| {
             self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "endpoint list not fetched"));
@@ -151,8 +153,8 @@
     /// Makes later calls at another address. The endpoint list in use and its version stay.
     ///
     /// Returns whether a watch has to be begun anew: the address is a new one, and a watch was ever begun.
-    /// [`Discovery::replace_watch_task`] then aborts the old watch without an event, so that a planned move does not
-    /// count as a failure and nothing that the old address sends later overrides the new one.
+    /// [`Discovery::replace_watch_task`] then aborts the old watch without an event, so that a planned move
+    /// does not count as a failure and nothing that the old address sends later overrides the new one.
     pub fn move_to(&self, address: SocketAddr) -> bool {
         self.caller.set_address(address) && self.watch_task.borrow().is_some()
     }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -126,8 +126,9 @@
         Self { names, log: RateLimitedLog::default() }
     }
 
-    /// Reads a list; fails if the text is none. An entry that is unreadable but for its uid counts as draining, so that
-    /// nothing is sent to that upstream; one without a readable uid is skipped. Both are logged.
+    /// Reads a list; fails if the text is none. An entry that is unreadable but for its uid counts as
+    /// draining, so that nothing is sent to that upstream; one without a readable uid is skipped. Both are
+    /// logged.
     pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
         let raw: RawList<'_> = serde_json::from_slice(text)?;
         let entries = raw.entries.iter().filter_map(|entry| self.read_entry_or_draining(entry.get()));
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -1,8 +1,8 @@
 //! Splits a stream of bytes into the JSON objects that follow each other in it.
 //!
-//! The end of a line is not the end of an object, as objects may be indented, and chunks end anywhere, within a number
-//! too. An incremental parser follows the bytes: it sees each of them once, and tells an object that is incomplete from
-//! one that is malformed.
+//! The end of a line is not the end of an object, as objects may be indented, and chunks end anywhere, within
+//! a number too. An incremental parser follows the bytes: it sees each of them once, and tells an object that
+//! is incomplete from one that is malformed.
 
 #[cfg(test)]
 mod tests;
@@ -74,7 +74,8 @@
         self.open_object.is_some()
     }
 
-    /// Returns the next item, or `None` if it takes another chunk. After an error the stream cannot be used any more.
+    /// Returns the next item, or `None` if it takes another chunk. After an error the stream cannot be used
+    /// any more.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, SplitError> {
         while self.open_object.is_none() {
             let Some(&first) = self.buffer.first() else { return Ok(None) };
@@ -105,8 +106,8 @@
         Self { parser: JsonParser::new(PushJsonFeeder::new()), fed: 0, depth: 0 }
     }
 
-    /// Parses what has been added to the buffer, which begins with the object. Returns the length of the object once it
-    /// is complete.
+    /// Parses what has been added to the buffer, which begins with the object. Returns the length of the
+    /// object once it is complete.
     fn parse(&mut self, buffer: &[u8]) -> Result<Option<usize>, SplitError> {
         loop {
             let event = self.parser.next_event();
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -9,14 +9,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A watch without a message for this long has failed, whatever the state of its connection: discovery sends at least
-/// an empty line every 2 s. A change counts as delivered (see [`discovery`](crate::discovery)) at the latest 6 s
-/// after the watch fell silent, which leaves time to find out, to find the same of the next watch, and to begin a third.
+/// A watch without a message for this long has failed, whatever the state of its connection: discovery sends
+/// at least an empty line every 2 s. A change counts as delivered (see [`discovery`](crate::discovery)) at
+/// the latest 6 s after the watch fell silent, which leaves time to find out, to find the same of the next
+/// watch, and to begin a third.
 pub(super) const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl Discovery {
-    /// Watches the endpoint list from the version in use on, until the watch ends or fails, which is logged. Each
-    /// update that comes is passed to `deliver`.
+    /// Watches the endpoint list from the version in use on, until the watch ends or fails, which is logged.
+    /// Each update that comes is passed to `deliver`.
     pub async fn watch(&self, deliver: impl FnMut(WatchEvent)) {
         let result = self.receive_updates(deliver).await;
         self.metrics.watches_ended.inc();
--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -10,7 +10,8 @@
 
 /// Time for a complete request, from the accepted connection or from a later request's first byte.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Added to [`READ_TIMEOUT`] once a head has arrived, so that the client gets the 408 before the connection ends.
+/// Added to [`READ_TIMEOUT`] once a head has arrived, so that the client gets the 408 before the connection
+/// ends.
 const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(250);
 /// How long a connection may stay open between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
@@ -109,8 +110,8 @@
         self.state.set(ClientState::AwaitingResponse);
     }
 
-    /// Notes that the response is ready to be written. A client that has only sent invalid requests stays new: its
-    /// time for the first valid one goes on.
+    /// Notes that the response is ready to be written. A client that has only sent invalid requests stays
+    /// new: its time for the first valid one goes on.
     pub fn response_ready(&self) {
         self.request_started_at.set(None);
         if self.state.get() == ClientState::AwaitingResponse {
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -18,8 +18,8 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// How often the end of a connection is looked for while its bytes must not be read ahead. Short, because attempts must
-/// stop within 0.1 s of a client's disconnect.
+/// How often the end of a connection is looked for while its bytes must not be read ahead. Short, because
+/// attempts must stop within 0.1 s of a client's disconnect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Reading ahead of a response stops once this much is buffered: as much as the longest request body.
 const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_BODY_BYTES;
@@ -46,16 +46,16 @@
         }
     }
 
-    /// Whether a head states its length in two ways. hyper shows `Transfer-Encoding` only. Has to be called once for
-    /// each head.
+    /// Whether a head states its length in two ways. hyper shows `Transfer-Encoding` only. Has to be called
+    /// once for each head.
     pub fn has_conflicting_lengths(&self, headers: &HeaderMap) -> bool {
         let visible = headers.get_all(CONTENT_LENGTH).iter().count();
         let has_hidden_length = self.content_lengths.borrow_mut().has_hidden_header(visible);
         has_hidden_length && headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Waits until a client has closed its connection before it got its response. hyper does not look for that while
-    /// bytes follow the request, so they are read ahead here.
+    /// Waits until a client has closed its connection before it got its response. hyper does not look for
+    /// that while bytes follow the request, so they are read ahead here.
     pub async fn disconnected(&self) {
         let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -24,7 +24,8 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a connection that closes may take to write its last response. Checked every [`CLOSE_CHECK_INTERVAL`].
+/// How long a connection that closes may take to write its last response. Checked every
+/// [`CLOSE_CHECK_INTERVAL`].
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Size of a connection's buffer, and with it the longest request head.
@@ -32,8 +33,8 @@
 
 type HttpConnection<S> = http1::Connection<TokioIo<ClientStream>, S>;
 
-/// Serves the requests on a connection; returns when it has ended. Once the process drains, the connection ends after
-/// the response that it waits for, or at once between two requests.
+/// Serves the requests on a connection; returns when it has ended. Once the process drains, the connection
+/// ends after the response that it waits for, or at once between two requests.
 pub async fn serve_connection(
     stream: TcpStream,
     client: &Rc<Client>,
@@ -75,8 +76,8 @@
     }
 }
 
-/// Closes a connection that was evicted or has timed out. A request of which only a part has arrived is dropped: nothing
-/// of it was forwarded.
+/// Closes a connection that was evicted or has timed out. A request of which only a part has arrived is
+/// dropped: nothing of it was forwarded.
 async fn close<S>(client: &Client, mut connection: Pin<&mut HttpConnection<S>>) -> hyper::Result<()>
 where
     S: Service<Request<Incoming>, Response = ClientResponse, Error = Infallible>,
@@ -112,8 +113,8 @@
     wait_for_last_response(client, connection).await
 }
 
-/// Polls a connection that is about to close once more: a complete request that the kernel has already received and
-/// acknowledged would be lost otherwise.
+/// Polls a connection that is about to close once more: a complete request that the kernel has already
+/// received and acknowledged would be lost otherwise.
 async fn process_received_bytes(
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
 ) -> Poll<hyper::Result<()>> {
@@ -122,8 +123,8 @@
     poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx))).await
 }
 
-/// Waits for the response that a closing connection still waits for, or that a client reads slowly. Between two requests
-/// such a connection ends at once.
+/// Waits for the response that a closing connection still waits for, or that a client reads slowly. Between
+/// two requests such a connection ends at once.
 async fn wait_for_last_response(
     client: &Client,
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
--- a/crates/proxy/src/downstream/content_length.rs
+++ b/crates/proxy/src/downstream/content_length.rs
@@ -19,9 +19,9 @@
 
 /// Counts the lines of a client's bytes that begin with `content-length`, in any case.
 ///
-/// hyper drops `Content-Length` where a head has `Transfer-Encoding`, too, in either order. The difference between the
-/// lines that arrived and the headers that hyper has shown tells whether it did. Lines of a body that look alike count
-/// as well, so that in doubt a head is taken for one with a hidden length.
+/// hyper drops `Content-Length` where a head has `Transfer-Encoding`, too, in either order. The difference
+/// between the lines that arrived and the headers that hyper has shown tells whether it did. Lines of a body
+/// that look alike count as well, so that in doubt a head is taken for one with a hidden length.
 pub struct ContentLengthCounter {
     position: LinePosition,
     lines: u64,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether more lines have arrived than hyper has shown headers. `visible`: the number of headers in the current
-    /// head; has to be called once for each head.
+    /// Whether more lines have arrived than hyper has shown headers. `visible`: the number of headers in the
+    /// current head; has to be called once for each head.
     pub fn has_hidden_header(&mut self, visible: usize) -> bool {
         self.visible += visible as u64;
         self.lines > self.visible
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -47,8 +47,8 @@
         })
     }
 
-    /// Accepts clients, at most `max_connections` at a time, until the process drains; returns when the last of
-    /// them has gone.
+    /// Accepts clients, at most `max_connections` at a time, until the process drains; returns when the last
+    /// of them has gone.
     pub async fn run(self: Rc<Self>, socket: TcpListener, max_connections: usize) {
         let slots = Arc::new(Semaphore::new(max_connections));
         let mut phase = self.phase.clone();
@@ -61,8 +61,8 @@
                     continue;
                 }
                 accepted = socket.accept() => accepted,
-                // Connections in the backlog are still accepted, as their requests may have arrived. This branch is
-                // reached when there are no more of them.
+                // Connections in the backlog are still accepted, as their requests may have arrived. This
+                // branch is reached when there are no more of them.
                 () = yield_now(), if is_draining => break,
             };
             let stream = match accepted {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Closes the connection with the lowest [`EvictionPriority`](crate::downstream::client::EvictionPriority), if any
-    /// may be closed.
+    /// Closes the connection with the lowest
+    /// [`EvictionPriority`](crate::downstream::client::EvictionPriority), if any may be closed.
     fn evict_idle_client(&self) {
         let now = Instant::now();
         let clients = self.clients.borrow();
--- a/crates/proxy/src/downstream/listener/tests.rs
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -109,7 +109,8 @@
     String::from_utf8_lossy(&bytes[..length]).into_owned()
 }
 
-/// The balancer that takes over may not be ready yet, so a connection in use stays usable in the lame duck phase.
+/// The balancer that takes over may not be ready yet, so a connection in use stays usable in the lame duck
+/// phase.
 #[tokio::test(flavor = "local")]
 async fn connections_outlast_the_lame_duck_phase_and_end_with_the_drain() {
     let proxy = TestProxy::lame_duck().start().await;
@@ -150,8 +151,8 @@
     assert!(next.contains("stays"), "{next:?}");
 }
 
-/// No attempt begins, neither a first one nor a retry, for a client that has left, even if bytes follow its request or
-/// the process drains.
+/// No attempt begins, neither a first one nor a retry, for a client that has left, even if bytes follow its
+/// request or the process drains.
 #[tokio::test(flavor = "local")]
 async fn the_request_of_a_client_that_left_is_not_forwarded_though_bytes_follow_it() {
     for (is_draining, trailing_bytes) in
@@ -193,8 +194,8 @@
     }
 }
 
-/// Requests that the kernel has received when the process begins to drain get their responses, on a connection in use
-/// and on connections that are not accepted yet.
+/// Requests that the kernel has received when the process begins to drain get their responses, on a
+/// connection in use and on connections that are not accepted yet.
 #[tokio::test(flavor = "local")]
 async fn requests_that_arrive_with_the_drain_are_answered() {
     let proxy = TestProxy::lame_duck().start().await;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -22,16 +22,16 @@
 
 /// The longest request body.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Subtracted from the time that a client still waits: the transfer of the request and of the response, and the
-/// resolution of the timers.
+/// Subtracted from the time that a client still waits: the transfer of the request and of the response, and
+/// the resolution of the timers.
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
 /// Why a request is rejected before it reaches the balancer. The message is the body of the response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// The head states the body's length in two ways. A second request could hide in the body of the first, if the
-    /// upstream trusts the other one.
+    /// The head states the body's length in two ways. A second request could hide in the body of the first,
+    /// if the upstream trusts the other one.
     #[error("Content-Length beside Transfer-Encoding")]
     ConflictingLengths,
     /// There is no `Host` header, or several.
@@ -212,7 +212,8 @@
         })
     }
 
-    /// Reads the body, which has to be complete by `read_deadline`, and reserves the request's correlation id.
+    /// Reads the body, which has to be complete by `read_deadline`, and reserves the request's correlation
+    /// id.
     pub async fn complete(
         &self,
         head: RequestHead,
--- a/crates/proxy/src/driver/event_queue.rs
+++ b/crates/proxy/src/driver/event_queue.rs
@@ -39,8 +39,8 @@
         self.events.borrow_mut().push_back(event);
     }
 
-    /// Hands all queued events to `process`, in order, until none is left. Does nothing within a call of `process`: the
-    /// outer call gets to the events that were added meanwhile.
+    /// Hands all queued events to `process`, in order, until none is left. Does nothing within a call of
+    /// `process`: the outer call gets to the events that were added meanwhile.
     pub(super) fn process_all(&self, mut process: impl FnMut(DriverEvent)) {
         if self.is_processing.replace(true) {
             return;
--- a/crates/proxy/src/driver/events.rs
+++ b/crates/proxy/src/driver/events.rs
@@ -91,7 +91,8 @@
         result: AttemptResult,
     ) {
         let Some(request) = core.requests.get_mut(id) else { return };
-        // An attempt may have ended by itself just before it was cancelled: only the first of both events counts.
+        // An attempt may have ended by itself just before it was cancelled: only the first of both events
+        // counts.
         let Some(attempt) = request.attempt_in_flight(index) else { return };
         attempt.is_in_flight = false;
         let upstream = attempt.upstream;
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -23,8 +23,8 @@
 /// Sends the final response to the client that waits for it.
 pub(super) struct ResponseSender {
     response: oneshot::Sender<FinalResponse>,
-    /// Dropping it tells the attempts that nobody waits any more: a request that has not been sent completely by then
-    /// is not sent.
+    /// Dropping it tells the attempts that nobody waits any more: a request that has not been sent completely
+    /// by then is not sent.
     abandonment_guard: watch::Sender<()>,
 }
 
@@ -35,8 +35,8 @@
         (Self { response, abandonment_guard: watch::Sender::new(()) }, receiver)
     }
 
-    /// A channel that closes when nobody waits for the response any more. Its `changed()` resolves with an error once
-    /// the sender is dropped; no value is ever sent.
+    /// A channel that closes when nobody waits for the response any more. Its `changed()` resolves with an
+    /// error once the sender is dropped; no value is ever sent.
     pub(super) fn abandonment(&self) -> watch::Receiver<()> {
         self.abandonment_guard.subscribe()
     }
@@ -86,8 +86,8 @@
 }
 
 impl InFlightRequests {
-    /// Adds a request and gives it an id. Ids repeat after 2^32 requests; the earlier request with the same id is
-    /// taken to have finished by then.
+    /// Adds a request and gives it an id. Ids repeat after 2^32 requests; the earlier request with the same
+    /// id is taken to have finished by then.
     pub(super) fn insert(&mut self, incoming: IncomingRequest, response_sender: ResponseSender) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,8 +1,9 @@
-//! Feeds the [`Balancer`] with events and carries out the actions that it returns, in order. The driver itself
-//! decides nothing.
+//! Feeds the [`Balancer`] with events and carries out the actions that it returns, in order. The driver
+//! itself decides nothing.
 //!
-//! Everything that happens (a request, the end of an attempt, a timer) becomes a [`DriverEvent`] in a queue. Events are
-//! handled one at a time, so that the balancer is never entered twice; what happens meanwhile waits in the queue.
+//! Everything that happens (a request, the end of an attempt, a timer) becomes a [`DriverEvent`] in a queue.
+//! Events are handled one at a time, so that the balancer is never entered twice; what happens meanwhile
+//! waits in the queue.
 
 mod actions;
 mod clock;
@@ -32,8 +33,8 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The balancer and the requests that it decides on. Borrowed only while an event is handled and when a request is
-/// added.
+/// The balancer and the requests that it decides on. Borrowed only while an event is handled and when a
+/// request is added.
 struct Core {
     balancer: Balancer,
     requests: InFlightRequests,
@@ -55,8 +56,8 @@
     queue: EventQueue,
     upstreams: Upstreams,
     discovery: Discovery,
-    /// The balancer decides when a watch is begun, by [`Action::WatchEndpoints`]. Otherwise the driver keeps a watch open
-    /// by itself. Nothing is polled at intervals in either case.
+    /// The balancer decides when a watch is begun, by [`Action::WatchEndpoints`]. Otherwise the driver keeps
+    /// a watch open by itself. Nothing is polled at intervals in either case.
     polls_endpoints: bool,
     /// `true` once all attempts have to end.
     abort_all: watch::Sender<bool>,
@@ -94,8 +95,8 @@
         driver
     }
 
-    /// Submits a request to the balancer. The returned value yields its final response; dropping it earlier means that
-    /// the client has disconnected.
+    /// Submits a request to the balancer. The returned value yields its final response; dropping it earlier
+    /// means that the client has disconnected.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> PendingResponse {
         let (response_sender, receiver) = ResponseSender::new();
         let id = self.core.borrow_mut().requests.insert(incoming, response_sender);
@@ -103,8 +104,8 @@
         PendingResponse::new(Rc::clone(self), id, receiver)
     }
 
-    /// Ends all attempts in flight, and each that is sent later, so that every request gets its final response. For
-    /// the end of the process.
+    /// Ends all attempts in flight, and each that is sent later, so that every request gets its final
+    /// response. For the end of the process.
     pub fn abort_all(&self) {
         self.abort_all.send_replace(true);
     }
@@ -119,8 +120,8 @@
         self.discovery.version()
     }
 
-    /// Discovery has a new address. A watch that was ever begun is begun anew there at once, even if the balancer or
-    /// the backoff would wait: changes must not be missed meanwhile.
+    /// Discovery has a new address. A watch that was ever begun is begun anew there at once, even if the
+    /// balancer or the backoff would wait: changes must not be missed meanwhile.
     pub fn discovery_moved(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.move_to(address) {
             self.watch_endpoints();
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the driver between an upstream or a discovery on loopback, both of which the test plays, and a client.
+//! Tests of the driver between an upstream or a discovery on loopback, both of which the test plays, and a
+//! client.
 
 use super::endpoint_watch::{MAX_WATCH_BACKOFF, MIN_WATCH_BACKOFF, STABLE_WATCH_DURATION};
 use super::*;
@@ -60,7 +61,8 @@
     (Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), polls_endpoints, metrics), listener)
 }
 
-/// A driver whose only upstream is at this socket, with one connection to it at the most. Attempts are never cancelled.
+/// A driver whose only upstream is at this socket, with one connection to it at the most. Attempts are never
+/// cancelled.
 fn driver_with_one_connection(upstream: &TcpListener) -> Rc<Driver> {
     let endpoint = upstream.local_addr().unwrap();
     let class = r#"{"name":"book","aim_ms":60000,"hard_limit_ms":60000,"effect":"at_most_once"}"#;
@@ -90,8 +92,8 @@
     String::from_utf8_lossy(&text[..length]).into_owned()
 }
 
-/// A change counts as delivered, whether it came or not, 6 s after a watch or a call failed in any way. The next call
-/// has to come within that time, where lists are pushed as well as where they are polled.
+/// A change counts as delivered, whether it came or not, 6 s after a watch or a call failed in any way. The
+/// next call has to come within that time, where lists are pushed as well as where they are polled.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn discovery_is_followed_in_time_whatever_failed_before() {
     for mode in ["automatic", "subscribe"] {
@@ -125,8 +127,8 @@
     }
 }
 
-/// What a watch misses counts as delivered: 6 s later if the watch fell silent, even if the next call has no response,
-/// and at once if its connection was reset.
+/// What a watch misses counts as delivered: 6 s later if the watch fell silent, even if the next call has no
+/// response, and at once if its connection was reset.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn a_watch_is_back_in_time() {
     let (_driver, discovery) = watching_driver().await;
@@ -154,8 +156,8 @@
     let gap = reset_at.elapsed();
     assert!(gap < Duration::from_millis(50), "{gap:?}");
 
-    // One that ends as soon as it has begun is begun anew after a backoff, still well within the 250 ms in which
-    // requests to a draining upstream have to stop.
+    // One that ends as soon as it has begun is begun anew after a backoff, still well within the 250 ms in
+    // which requests to a draining upstream have to stop.
     let ended_at = Instant::now();
     accept_watch(&discovery).await;
     let gap = ended_at.elapsed();
@@ -170,8 +172,8 @@
     assert!(ended_at.elapsed() >= MAX_WATCH_BACKOFF - Duration::from_millis(50));
 }
 
-/// A list without an end, sent as fast as it is read, is given up, and discovery is called again, well within the time
-/// in which a change counts as delivered.
+/// A list without an end, sent as fast as it is read, is given up, and discovery is called again, well within
+/// the time in which a change counts as delivered.
 #[tokio::test(flavor = "local")]
 async fn a_list_without_an_end_is_given_up_in_time() {
     let (_driver, discovery) = watching_driver().await;
@@ -194,8 +196,8 @@
     writing.abort();
 }
 
-/// Where attempts may not be cancelled, one that waits for a connection is not sent once its client has disconnected,
-/// while one that was sent goes on.
+/// Where attempts may not be cancelled, one that waits for a connection is not sent once its client has
+/// disconnected, while one that was sent goes on.
 #[tokio::test(flavor = "local")]
 async fn a_request_whose_client_left_while_it_waited_is_not_sent() {
     let upstream = listen().await;
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -29,8 +29,8 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = HeaderName::from_static("expect");
 
-/// The headers that concern a single connection or the framing of a message, whether or not `Connection` names
-/// them.
+/// The headers that concern a single connection or the framing of a message, whether or not `Connection`
+/// names them.
 const HOP_BY_HOP: [HeaderName; 11] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -45,7 +45,8 @@
     UPGRADE,
 ];
 
-/// Removes the headers that must not be forwarded: the fixed hop-by-hop ones and those that `Connection` names.
+/// Removes the headers that must not be forwarded: the fixed hop-by-hop ones and those that `Connection`
+/// names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named_by_connection: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -8,14 +8,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest lame duck phase. After SIGTERM the platform goes on assigning new connections to this balancer for up to
+/// Shortest lame duck phase. After SIGTERM the platform goes on assigning new connections to this balancer
+/// for up to
 /// 0.4 s, and clients keep using those that they have. Both need time until a neighbour that may have just started
 /// itself is ready.
 const MIN_LAME_DUCK: Duration = Duration::from_millis(600);
 /// Longest lame duck phase.
 const MAX_LAME_DUCK: Duration = Duration::from_millis(1200);
-/// Fraction of the longest deadline that the lame duck phase may take, within the two bounds above, so that requests
-/// that arrive at its end still have time.
+/// Fraction of the longest deadline that the lame duck phase may take, within the two bounds above, so that
+/// requests that arrive at its end still have time.
 const LAME_DUCK_DEADLINE_FRACTION: f64 = 0.7;
 /// The platform counts deadlines up to this one before it sends SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
@@ -29,10 +30,11 @@
 pub enum LifecyclePhase {
     /// Serving, and ready for new connections.
     Serving,
-    /// Reports that it is not ready, but still accepts connections and serves requests on them, because the balancer
-    /// that replaces it may have only just started.
+    /// Reports that it is not ready, but still accepts connections and serves requests on them, because the
+    /// balancer that replaces it may have only just started.
     LameDuck,
-    /// Accepts no new connections but those that already wait in the backlog; open ones end between two requests.
+    /// Accepts no new connections but those that already wait in the backlog; open ones end between two
+    /// requests.
     Draining,
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,5 @@
-//! `balancer-proxy`: an HTTP load balancer on real sockets. Every decision is made by the `balancer_core` library.
+//! `balancer-proxy`: an HTTP load balancer on real sockets. Every decision is made by the `balancer_core`
+//! library.
 
 mod config;
 mod discovery;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and gauges of one balancer, kept in a Prometheus registry. They are not exported; those that change are
-//! logged at intervals.
+//! Counters and gauges of one balancer, kept in a Prometheus registry. They are not exported; those that
+//! change are logged at intervals.
 
 use balancer_core::{Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, text::encode};
@@ -96,7 +96,8 @@
     pub requests: Counter,
     /// Attempts after the first one of their request.
     pub retries_and_hedges: Counter,
-    /// Attempts and health checks withheld because the upstream stopped being ready while a connection was obtained.
+    /// Attempts and health checks withheld because the upstream stopped being ready while a connection was
+    /// obtained.
     pub withheld_attempts: Counter,
     /// Calls to discovery that were begun.
     pub discovery_calls: Counter,
--- a/crates/proxy/src/rate_limited_log.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -15,8 +15,8 @@
 }
 
 impl RateLimitedLog {
-    /// Calls `log`, which writes the warning, with the number of warnings suppressed before it; or suppresses the
-    /// warning.
+    /// Calls `log`, which writes the warning, with the number of warnings suppressed before it; or suppresses
+    /// the warning.
     pub fn warn(&self, log: impl FnOnce(u64)) {
         let now = Instant::now();
         if self.last_logged_at.get().is_some_and(|last| now - last < WARNING_INTERVAL) {
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -1,7 +1,7 @@
 //! Process signals.
 //!
-//! A signal handler sets a flag, and [`SignalFlag::received`] polls it. A pipe between the two could fail to be
-//! written, and the signal would be lost.
+//! A signal handler sets a flag, and [`SignalFlag::received`] polls it. A pipe between the two could fail to
+//! be written, and the signal would be lost.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::ffi::c_int;
@@ -23,7 +23,8 @@
         Self::register(SIGTERM)
     }
 
-    /// Registers SIGHUP, which requests a reload of the configuration. Fails if the system registers no handler.
+    /// Registers SIGHUP, which requests a reload of the configuration. Fails if the system registers no
+    /// handler.
     pub fn hangup() -> io::Result<Self> {
         Self::register(SIGHUP)
     }
--- a/crates/proxy/src/socket_io.rs
+++ b/crates/proxy/src/socket_io.rs
@@ -1,7 +1,7 @@
 //! Socket calls that handle interrupted and partial results.
 //!
-//! An interrupted call is repeated. A partial read or write does not clear the stream's readiness: it counts as
-//! ready until the kernel reports `WouldBlock`.
+//! An interrupted call is repeated. A partial read or write does not clear the stream's readiness: it counts
+//! as ready until the kernel reports `WouldBlock`.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -21,10 +21,11 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long a new process waits for discovery's first complete message before it serves by the cached endpoint
-/// list. A long list takes time to read.
+/// How long a new process waits for discovery's first complete message before it serves by the cached
+/// endpoint list. A long list takes time to read.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long it waits without progress. Discovery's agent runs on this machine, so silence means that it is down.
+/// How long it waits without progress. Discovery's agent runs on this machine, so silence means that it is
+/// down.
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often the address is tried: what occupies it may go away in a moment.
 const BIND_ATTEMPTS: usize = 20;
@@ -67,11 +68,12 @@
     pub accept_loop: JoinHandle<()>,
 }
 
-/// Starts a proxy. Returns once clients can connect. Fails if the settings are invalid, a signal handler cannot be
-/// registered or the address cannot be bound or listened on.
+/// Starts a proxy. Returns once clients can connect. Fails if the settings are invalid, a signal handler
+/// cannot be registered or the address cannot be bound or listened on.
 pub async fn start(config: &Config) -> Result<RunningProxy, StartupError> {
     let balancer = Balancer::new(config.site.settings.clone(), config.seed).map_err(InvalidSettings)?;
-    // Both handlers are set before anybody can know that this process is ready: unhandled, the signals would kill it.
+    // Both handlers are set before anybody can know that this process is ready: unhandled, the signals would
+    // kill it.
     let terminate = SignalFlag::terminate()?;
     let hangup = SignalFlag::hangup()?;
     let socket =
@@ -132,9 +134,9 @@
     Ok(socket)
 }
 
-/// Waits for discovery's first complete message, as long as something arrives. Not used where the balancer decides
-/// when a watch is begun (`Settings::poll_endpoints`): discovery may be overloaded there by all processes that start at
-/// the same time.
+/// Waits for discovery's first complete message, as long as something arrives. Not used where the balancer
+/// decides when a watch is begun (`Settings::poll_endpoints`): discovery may be overloaded there by all
+/// processes that start at the same time.
 async fn wait_for_first_list(driver: &Driver) {
     let mut progress = driver.discovery_progress();
     let first_list = async {
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,7 +1,8 @@
 //! Attempts: a request is sent to one upstream, and the end of it becomes an [`Outcome`].
 //!
 //! An outcome says that the request was not executed only where that is proved: no connection was made, the
-//! kernel had not accepted the last byte of the request when the attempt ended, or the upstream says so itself.
+//! kernel had not accepted the last byte of the request when the attempt ended, or the upstream says so
+//! itself.
 
 use crate::headers::{self, NOT_EXECUTED};
 use crate::upstream::connection::Connection;
@@ -58,9 +59,9 @@
     /// Sends a request to an upstream and waits for the response until `deadline`.
     ///
     /// The requester holds the sender of `abandonment` and drops it when it no longer wants the response: its
-    /// `changed()` resolves with an error once the sender is dropped; no value is ever sent. If that happens before
-    /// the whole request is written, the attempt ends with [`Outcome::NotSent`]; otherwise the response is still
-    /// waited for.
+    /// `changed()` resolves with an error once the sender is dropped; no value is ever sent. If that happens
+    /// before the whole request is written, the attempt ends with [`Outcome::NotSent`]; otherwise the
+    /// response is still waited for.
     pub async fn attempt(
         &self,
         id: UpstreamId,
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Makes an attempt on a single connection. Returns `None` if it was a reused one that ended before any byte
-    /// of the request was written: another connection may be tried.
+    /// Makes an attempt on a single connection. Returns `None` if it was a reused one that ended before any
+    /// byte of the request was written: another connection may be tried.
     async fn attempt_on_one_connection(
         &self,
         id: UpstreamId,
--- a/crates/proxy/src/upstream/checkout.rs
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -20,9 +20,9 @@
 }
 
 impl Upstreams {
-    /// Checks out a connection to an upstream: an idle one if there is any, otherwise a new one. The wait for a
-    /// slot and the connect end at `deadline`, and together take no longer than the connect timeout. Fails with
-    /// the outcome of the attempt.
+    /// Checks out a connection to an upstream: an idle one if there is any, otherwise a new one. The wait for
+    /// a slot and the connect end at `deadline`, and together take no longer than the connect timeout. Fails
+    /// with the outcome of the attempt.
     pub(super) async fn check_out(
         &self,
         id: UpstreamId,
@@ -65,8 +65,8 @@
         None
     }
 
-    /// Returns a connection to the pool. Closes it instead if the upstream takes no requests any more, has moved,
-    /// or has restarted since the connection was asked for.
+    /// Returns a connection to the pool. Closes it instead if the upstream takes no requests any more, has
+    /// moved, or has restarted since the connection was asked for.
     pub(super) fn check_in(&self, id: UpstreamId, upstream: &Upstream, checked_out: CheckedOut) {
         let CheckedOut { connection, started_at_unix_ms, .. } = checked_out;
         let same_process = upstream.started_at_unix_ms.get() == started_at_unix_ms;
--- a/crates/proxy/src/upstream/checkout/tests.rs
+++ b/crates/proxy/src/upstream/checkout/tests.rs
@@ -9,8 +9,9 @@
 /// Repetitions of tests that look for a race between this process and the kernel.
 const RACE_REPETITIONS: usize = 20;
 
-/// Starts one attempt that holds the only connection and two more that wait for it, the first of which is then
-/// cancelled. Checks that the second one gets the connection, or its slot, as soon as the connection is idle.
+/// Starts one attempt that holds the only connection and two more that wait for it, the first of which is
+/// then cancelled. Checks that the second one gets the connection, or its slot, as soon as the connection is
+/// idle.
 async fn check_that_a_waiting_attempt_gets_the_connection(waiting_for: UpstreamId) {
     let fixture = Fixture::with_max_connections(1).await;
     fixture.add_upstream(waiting_for);
@@ -69,8 +70,9 @@
     }
 }
 
-/// Sends a response and a second, unrequested one on the same connection: `at_once` of their bytes together, the
-/// rest right before the next attempt. Checks that this attempt gets its own response, on a new connection.
+/// Sends a response and a second, unrequested one on the same connection: `at_once` of their bytes together,
+/// the rest right before the next attempt. Checks that this attempt gets its own response, on a new
+/// connection.
 async fn check_that_an_unrequested_response_is_ignored(fixture: &Fixture, at_once: usize, responses: &str) {
     fixture.upstreams.close_idle(UPSTREAM);
     let (now, later) = responses.split_at(at_once);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -30,8 +30,8 @@
 }
 
 impl Connection {
-    /// Connects to `peer`. `slot` is dropped once the connection's descriptor is closed. Fails with the error of
-    /// the connect call or of the socket option.
+    /// Connects to `peer`. `slot` is dropped once the connection's descriptor is closed. Fails with the error
+    /// of the connect call or of the socket option.
     pub async fn open<S: Unpin + 'static>(peer: SocketAddr, slot: S) -> io::Result<Self> {
         let stream = socket_io::connect(peer).await?;
         stream.set_nodelay(true)?;
--- a/crates/proxy/src/upstream/counting_stream.rs
+++ b/crates/proxy/src/upstream/counting_stream.rs
@@ -1,5 +1,5 @@
-//! The TCP stream below an upstream connection: counts the bytes written and checks that an idle connection is
-//! silent before a request is written to it.
+//! The TCP stream below an upstream connection: counts the bytes written and checks that an idle connection
+//! is silent before a request is written to it.
 
 use crate::socket_io;
 use socket2::SockRef;
@@ -24,7 +24,8 @@
 
 impl<S> CountingStream<S> {
     /// Wraps a connected stream. `bytes_written` grows with each write. The first write after `check_silence`
-    /// is set to `true` fails, without writing anything, unless the connection is open and has nothing to read.
+    /// is set to `true` fails, without writing anything, unless the connection is open and has nothing to
+    /// read.
     pub fn new(
         stream: TcpStream,
         bytes_written: Rc<Cell<u64>>,
--- a/crates/proxy/src/upstream/exchange/tests.rs
+++ b/crates/proxy/src/upstream/exchange/tests.rs
@@ -2,7 +2,8 @@
 use crate::upstream::test_support::{Fixture, LONG_TIMEOUT, UPSTREAM};
 use tokio::time::{Instant, timeout_at};
 
-/// Has the upstream send `response` on a new connection that it leaves open, and returns the attempt's outcome.
+/// Has the upstream send `response` on a new connection that it leaves open, and returns the attempt's
+/// outcome.
 async fn outcome_of(fixture: &Fixture, response: &str) -> Outcome {
     let exchange =
         async { tokio::join!(fixture.attempt(UPSTREAM), fixture.accept_and_respond_until_closed(response)) };
@@ -11,8 +12,8 @@
     result.outcome
 }
 
-/// Upstreams that send a malformed response now and then are alive: the attempt ends at once as an error, and the
-/// connection is not reused.
+/// Upstreams that send a malformed response now and then are alive: the attempt ends at once as an error, and
+/// the connection is not reused.
 #[tokio::test(flavor = "local")]
 async fn a_malformed_response_is_an_error_and_not_a_reset() {
     let fixture = Fixture::with_max_connections(8).await;
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// Parses a load report, `name=value,name=value`, into the values of `fields`. A value that is missing or not a
-/// finite number is NaN, which the core ignores. Returns `None` if no value is readable.
+/// Parses a load report, `name=value,name=value`, into the values of `fields`. A value that is missing or not
+/// a finite number is NaN, which the core ignores. Returns `None` if no value is readable.
 fn parse(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -33,8 +33,8 @@
 }
 
 impl Pool {
-    /// Creates an empty pool. At most `max_connections` are open at once, and a connection is not reused after
-    /// it has been idle for `max_idle_time`.
+    /// Creates an empty pool. At most `max_connections` are open at once, and a connection is not reused
+    /// after it has been idle for `max_idle_time`.
     pub fn new(max_connections: usize, max_idle_time: Duration) -> Self {
         Self {
             idle: RefCell::default(),
@@ -72,9 +72,9 @@
         self.idle.borrow_mut().close_all(upstream);
     }
 
-    /// Waits for a slot for a connection to `upstream`. Closes the connection that has been idle longest if no
-    /// slot is free. Returns `None` if a connection to `upstream` became idle in the meantime, which can be
-    /// taken instead.
+    /// Waits for a slot for a connection to `upstream`. Closes the connection that has been idle longest if
+    /// no slot is free. Returns `None` if a connection to `upstream` became idle in the meantime, which can
+    /// be taken instead.
     pub async fn acquire_slot(&self, upstream: UpstreamId) -> Option<Slot> {
         if self.slots.available_permits() == 0 && !self.close_oldest() {
             let max_connections = self.max_connections;
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -63,7 +63,8 @@
         self.request_length
     }
 
-    /// Whether the kernel has accepted the whole request. Until then the upstream cannot have received all of it.
+    /// Whether the kernel has accepted the whole request. Until then the upstream cannot have received all of
+    /// it.
     pub(super) fn is_complete(&self) -> bool {
         self.bytes_written() >= self.request_length
     }
--- a/crates/proxy/src/upstream/response_body.rs
+++ b/crates/proxy/src/upstream/response_body.rs
@@ -15,8 +15,8 @@
 /// The longest response body that needs no reservation in the budget for large bodies.
 pub const MAX_SMALL_BODY_BYTES: usize = 64 * 1024;
 
-/// A limit on the bytes of all large response bodies together. A body counts from the moment its length is known
-/// to be large until the last reference to it is dropped.
+/// A limit on the bytes of all large response bodies together. A body counts from the moment its length is
+/// known to be large until the last reference to it is dropped.
 #[derive(Clone)]
 pub struct LargeBodyBudget {
     /// Atomic only because `Bytes` requires an owner that is `Send`. All users run on one thread.
@@ -75,8 +75,8 @@
     }
 }
 
-/// Reads a response body to its end. Fails if it is longer than [`MAX_RESPONSE_BODY_BYTES`], if the budget does not allow
-/// for its length, or if the connection ends or sends malformed framing.
+/// Reads a response body to its end. Fails if it is longer than [`MAX_RESPONSE_BODY_BYTES`], if the budget
+/// does not allow for its length, or if the connection ends or sends malformed framing.
 pub async fn read_body(body: Incoming, budget: &LargeBodyBudget) -> Result<Bytes, ExchangeError> {
     let stated_length = body.size_hint().lower();
     if stated_length > MAX_RESPONSE_BODY_BYTES as u64 {
--- a/crates/proxy/src/upstream/set.rs
+++ b/crates/proxy/src/upstream/set.rs
@@ -56,8 +56,8 @@
 }
 
 impl Upstreams {
-    /// Creates an empty set. At most `max_connections` to all upstreams together are open at once, and the large
-    /// response bodies that are in memory hold at most `large_body_bytes` together.
+    /// Creates an empty set. At most `max_connections` to all upstreams together are open at once, and the
+    /// large response bodies that are in memory hold at most `large_body_bytes` together.
     pub fn new(
         settings: &Settings,
         max_connections: usize,
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -105,7 +105,8 @@
         stream
     }
 
-    /// Accepts a connection, reads from the request on it and writes the whole response. The stream stays open.
+    /// Accepts a connection, reads from the request on it and writes the whole response. The stream stays
+    /// open.
     pub async fn accept_and_respond(&self, response: &str) -> TcpStream {
         let mut stream = self.accept_request().await;
         respond(&mut stream, response).await;
--- a/crates/proxy/tests/large_fleet.rs
+++ b/crates/proxy/tests/large_fleet.rs
@@ -1,6 +1,7 @@
 //! Processes of the balancer in a fleet of thousands of servers, under faults drawn from a seed.
 //!
-//! By hand, with more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test large_fleet -- --nocapture`.
+//! By hand, with more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test large_fleet --
+//! --nocapture`.
 
 use std::path::Path;
 use std::time::Duration;
@@ -89,15 +90,15 @@
     assert!(failed.is_empty(), "seeds {failed:?}");
 }
 
-/// Guards the drain rule in large fleets, with updates in chunks, broken watches and processes that start with an old
-/// list.
+/// Guards the drain rule in large fleets, with updates in chunks, broken watches and processes that start
+/// with an old list.
 #[test]
 fn a_large_fleet_drains_safely() {
     run_seeds("large-fleet", LARGE_FLEET);
 }
 
-/// Guards the same, and the response to each request, where system calls fail in permitted ways: reads and writes are
-/// interrupted or short; accept, socket and connect lack resources for a moment.
+/// Guards the same, and the response to each request, where system calls fail in permitted ways: reads and
+/// writes are interrupted or short; accept, socket and connect lack resources for a moment.
 #[test]
 fn failing_system_calls_lose_no_request() {
     let plan = Plan { servers: 400, groups: 20, system_faults_per_mille: 50, ..LARGE_FLEET };
--- a/crates/settings/src/duration.rs
+++ b/crates/settings/src/duration.rs
@@ -4,7 +4,8 @@
 
 const MS_PER_SECOND: f64 = 1e3;
 
-/// Converts milliseconds to a `Duration`. Negative values and NaN become zero, values out of range the maximum.
+/// Converts milliseconds to a `Duration`. Negative values and NaN become zero, values out of range the
+/// maximum.
 pub fn duration_from_ms(value: f64) -> Duration {
     if value.is_nan() || value <= 0.0 {
         return Duration::ZERO;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! Parses the settings object that the simulator's wire and the platform's configuration share, a JSON object,
-//! into the typed [`balancer_core::Settings`].
+//! Parses the settings object that the simulator's wire and the platform's configuration share, a JSON
+//! object, into the typed [`balancer_core::Settings`].
 //!
-//! Unknown keys are ignored. A missing key takes the value of `Settings::default()`, except for `weight_kind`:
-//! without it weights are ignored. `null` stands for a missing key where the field is optional; in any other field it
-//! is an error. An unknown value of `discovery`, `worth_by`, `weight_kind` or `telemetry.how` counts as absent; an
-//! unknown load report field becomes `LoadField::Other`.
+//! Unknown keys are ignored. A missing key takes the value of `Settings::default()`, except for
+//! `weight_kind`: without it weights are ignored. `null` stands for a missing key where the field is
+//! optional; in any other field it is an error. An unknown value of `discovery`, `worth_by`, `weight_kind` or
+//! `telemetry.how` counts as absent; an unknown load report field becomes `LoadField::Other`.
 
 mod conversion;
 mod duration;
@@ -21,9 +21,9 @@
 
 /// Parses a settings object.
 ///
-/// Fails if the text is not such an object, if a class names an unknown retry safety, or if a deduplicated class names
-/// no or an unknown deduplication scope.
-/// Ranges are not checked here: [`balancer_core::Balancer::new`] does that.
+/// Fails if the text is not such an object, if a class names an unknown retry safety, or if a deduplicated
+/// class names no or an unknown deduplication scope. Ranges are not checked here:
+/// [`balancer_core::Balancer::new`] does that.
 pub fn parse(text: &str) -> Result<Site, SettingsParseError> {
     let object: wire_format::SettingsObject = serde_json::from_str(text).map_err(SettingsParseError::Json)?;
     Site::try_from(object)
--- a/crates/settings/src/wire_format.rs
+++ b/crates/settings/src/wire_format.rs
@@ -1,8 +1,8 @@
-//! The settings object as it stands on the wire. Fields carry the names of [`balancer_core::Settings`]; `rename`
-//! states the key where it differs.
+//! The settings object as it stands on the wire. Fields carry the names of [`balancer_core::Settings`];
+//! `rename` states the key where it differs.
 //!
-//! `None` stands for a missing key or `null`; `conversion` fills in the default. In a field that is not an `Option`,
-//! `null` is an error.
+//! `None` stands for a missing key or `null`; `conversion` fills in the default. In a field that is not an
+//! `Option`, `null` is an error.
 
 use serde::Deserialize;
 
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -12,8 +12,8 @@
 /// On the wire an absent time is zero. `Some(Duration::ZERO)` is therefore encoded as absent, too.
 const ABSENT_MS: f64 = 0.0;
 
-/// A reply frame, whose buffer is reused from batch to batch: [`clear`](Self::clear), then [`push`](Self::push) for
-/// each action, then [`finish`](Self::finish).
+/// A reply frame, whose buffer is reused from batch to batch: [`clear`](Self::clear), then
+/// [`push`](Self::push) for each action, then [`finish`](Self::finish).
 #[derive(Default)]
 pub struct Reply {
     frame: Vec<u8>,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -31,8 +31,8 @@
 impl Host {
     /// Applies a record and keeps the resulting actions for the reply.
     ///
-    /// Fails, with the offset of the record, on unusable settings, on an undefined endpoint list and on an instance
-    /// that does not run.
+    /// Fails, with the offset of the record, on unusable settings, on an undefined endpoint list and on an
+    /// instance that does not run.
     pub fn apply(&mut self, now: Duration, record: Record) -> Result<(), WireError> {
         self.apply_body(now, record.body).map_err(|problem| problem.at(record.offset))
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! `simulator-adapter`: hosts many [`balancer_core::Balancer`]s and speaks the simulator's wire format on standard
-//! input and output.
+//! `simulator-adapter`: hosts many [`balancer_core::Balancer`]s and speaks the simulator's wire format on
+//! standard input and output.
 //!
-//! It only translates; every decision is the library's. Malformed input ends the process with one line on standard
-//! error and exit code 1. No part of the reply to that batch is written; earlier replies stand.
+//! It only translates; every decision is the library's. Malformed input ends the process with one line on
+//! standard error and exit code 1. No part of the reply to that batch is written; earlier replies stand.
 
 mod codes;
 mod decode;
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -61,7 +61,8 @@
     },
 }
 
-/// The counterpart of [`balancer_core::Event`] that owns its load report and refers to endpoints by list number.
+/// The counterpart of [`balancer_core::Event`] that owns its load report and refers to endpoints by list
+/// number.
 #[derive(Debug, PartialEq)]
 pub enum BalancerEvent {
     /// An update of the endpoint list.
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter as a process: batches on standard input, replies on standard output, and one line on standard error
-//! for malformed input.
+//! The adapter as a process: batches on standard input, replies on standard output, and one line on standard
+//! error for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -94,8 +94,8 @@
     replies
 }
 
-/// Asserts that the adapter ends at a batch after the first, with exit code 1, with one line that names the byte and
-/// holds a text, and with no part of a reply to that batch.
+/// Asserts that the adapter ends at a batch after the first, with exit code 1, with one line that names the
+/// byte and holds a text, and with no part of a reply to that batch.
 fn assert_malformed(second_batch: &[u8], byte: usize, text: &str) {
     let output = run_adapter(&[&first_batch()[..], second_batch].concat());
 
--- a/crates/testbed/src/agent/mod.rs
+++ b/crates/testbed/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! A discovery agent beside a balancer: it answers calls with a watch on a [`SharedRegistry`], breaks watches off at
-//! random, and can be stalled or closed.
+//! A discovery agent beside a balancer: it answers calls with a watch on a [`SharedRegistry`], breaks watches
+//! off at random, and can be stalled or closed.
 
 mod watch;
 
@@ -72,14 +72,14 @@
         self.address
     }
 
-    /// Stalls the agent or resumes it. Calls made while it is stalled are never answered; watches that were open
-    /// before continue when it is resumed.
+    /// Stalls the agent or resumes it. Calls made while it is stalled are never answered; watches that were
+    /// open before continue when it is resumed.
     pub fn set_stalled(&self, stalled: bool) {
         self.control.stalled.store(stalled, Ordering::SeqCst);
     }
 
-    /// Closes the agent a moment later: it then takes no more calls, and a watch that is open ends when its next update
-    /// or heartbeat is due.
+    /// Closes the agent a moment later: it then takes no more calls, and a watch that is open ends when its
+    /// next update or heartbeat is due.
     pub fn close(self) {
         let control = self.control;
         thread::spawn(move || {
--- a/crates/testbed/src/agent/watch.rs
+++ b/crates/testbed/src/agent/watch.rs
@@ -37,7 +37,8 @@
 }
 
 impl Watch {
-    /// Reads the call and delivers updates until a fault ends the watch, the agent is closed, or the connection ends.
+    /// Reads the call and delivers updates until a fault ends the watch, the agent is closed, or the
+    /// connection ends.
     pub fn serve(&mut self, registry: &SharedRegistry) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         let mut version = self.read_call()?;
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Draws whether a snapshot includes draining servers. Drawn for every update, although deltas do not use it: each
-    /// seed stands for a certain sequence of draws.
+    /// Draws whether a snapshot includes draining servers. Drawn for every update, although deltas do not use
+    /// it: each seed stands for a certain sequence of draws.
     fn draw_include_draining(&mut self) -> bool {
         self.random.bool()
     }
--- a/crates/testbed/src/drain_rule.rs
+++ b/crates/testbed/src/drain_rule.rs
@@ -1,4 +1,5 @@
-//! The rule on draining servers: no request reaches one later than a grace period after the balancer was notified.
+//! The rule on draining servers: no request reaches one later than a grace period after the balancer was
+//! notified.
 
 use crate::servers::Arrival;
 use std::collections::HashMap;
@@ -46,8 +47,8 @@
 }
 
 impl ProcessHistory {
-    /// Returns when the process counts as notified of a change: not before its start, and not while its agent was
-    /// stalled.
+    /// Returns when the process counts as notified of a change: not before its start, and not while its agent
+    /// was stalled.
     pub fn notified_at(&self, changed_at: Instant) -> Instant {
         let mut notified_at = changed_at.max(self.started_at);
         for stall in &self.discovery_stalls {
@@ -70,8 +71,8 @@
     pub delay: Duration,
 }
 
-/// Returns the requests that broke the rule. The part of a correlation id before the first `-` is the name of the
-/// process; requests of other senders are skipped.
+/// Returns the requests that broke the rule. The part of a correlation id before the first `-` is the name of
+/// the process; requests of other senders are skipped.
 pub fn find_violations(
     arrivals: &[Arrival],
     drain_periods: &[DrainPeriod],
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds a balancer on real sockets, on loopback, with faults drawn from a seed, and checks
-//! of the rules that a balancer has to keep, by what the servers received.
+//! Stand-ins for what surrounds a balancer on real sockets, on loopback, with faults drawn from a seed, and
+//! checks of the rules that a balancer has to keep, by what the servers received.
 //!
 //! A [`soak`] test runs a fleet of servers of any size against processes of the balancer:
 //!
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -1,5 +1,5 @@
-//! Groups of servers. All servers of a group share an address and a state, so that a few listeners stand in for
-//! thousands of servers. Each request is recorded with its group, its id and its time.
+//! Groups of servers. All servers of a group share an address and a state, so that a few listeners stand in
+//! for thousands of servers. Each request is recorded with its group, its id and its time.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/testbed/src/shim.rs
+++ b/crates/testbed/src/shim.rs
@@ -1,5 +1,5 @@
-//! A library that makes system calls of a process fail in ways that their documentation allows. It is built with the
-//! system's C compiler when it is needed.
+//! A library that makes system calls of a process fail in ways that their documentation allows. It is built
+//! with the system's C compiler when it is needed.
 
 use std::ffi::OsString;
 use std::io;
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -65,8 +65,8 @@
 
 /// Runs a plan with a seed. `folder` holds the balancers' configurations meanwhile.
 ///
-/// Fails if a stand-in or a process of the balancer cannot be started or controlled. What balancers do wrong is in
-/// the report.
+/// Fails if a stand-in or a process of the balancer cannot be started or controlled. What balancers do wrong
+/// is in the report.
 pub fn run(plan: Plan, seed: u64, program: &Path, folder: &Path) -> io::Result<Report> {
     let mut fleet = Fleet::new(plan, seed, program, folder)?;
     fleet.start_all()?;
