--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -18,19 +18,19 @@
 const MAX_SUBSET_SIZE: f64 = 1e6;
 /// The number of subsets that each upstream is in on average, rounded down.
 const TARGET_SUBSETS_PER_UPSTREAM: usize = 4;
+/// A subset that would hold this part of the upstreams, or more, holds all of them: a smaller one would reduce
+/// the choice and save little. The numerator of the part.
+const FULL_SET_NUMERATOR: usize = 4;
+/// The denominator of that part.
+const FULL_SET_DENOMINATOR: usize = 5;
+/// Moves the round to the upper bits of the key that upstreams are sorted by.
+const ROUND_KEY_SHIFT: u32 = 48;
 
 /// The least number of upstreams in the subset of a balancer that expects so many requests per second.
 pub(crate) fn min_subset_size(expected_rate: f64) -> usize {
     (UPSTREAMS_PER_REQUEST_RATE * expected_rate).clamp(MIN_SUBSET_SIZE, MAX_SUBSET_SIZE) as usize
 }
 
-/// A subset that would hold this part of the upstreams, or more, holds all of them: it would reduce the
-/// choice and save little.
-const FULL_SET_NUMERATOR: usize = 4;
-const FULL_SET_DENOMINATOR: usize = 5;
-/// Moves the round to the upper bits of the key that upstreams are sorted by.
-const ROUND_KEY_SHIFT: u32 = 48;
-
 /// Which part of the shared order a balancer takes.
 struct SubsetPlan {
     /// Number of upstreams in the subset.
