--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -18,8 +18,8 @@
 const MAX_SUBSET_SIZE: f64 = 1e6;
 /// The number of subsets that each upstream is in on average, rounded down.
 const TARGET_SUBSETS_PER_UPSTREAM: usize = 4;
-/// A subset that would hold this part of the upstreams, or more, holds all of them: a smaller one would reduce
-/// the choice and save little. The numerator of the part.
+/// A subset that would hold this part of the upstreams, or more, holds all of them: a smaller one would
+/// reduce the choice and save little. The numerator of the part.
 const FULL_SET_NUMERATOR: usize = 4;
 /// The denominator of that part.
 const FULL_SET_DENOMINATOR: usize = 5;
