--- a/crates/core/src/requests/arrival.rs
+++ b/crates/core/src/requests/arrival.rs
@@ -41,7 +41,7 @@
         self.retry_budget.deposit();
         self.latency.record_admission(class);
         let request = self.new_request(class, time_left);
-        self.requests.requests.insert(id, request);
+        self.requests.insert(id, request);
         self.send_attempt(id, upstream);
     }
 
--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -45,7 +45,7 @@
 impl Balancer {
     /// Sends an attempt of a request to the upstream at a position.
     pub(crate) fn send_attempt(&mut self, id: RequestId, position: usize) {
-        let Some(request) = self.requests.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let upstream = self.upstreams.at_mut(position);
         let mut connection_idle_seconds = upstream.idle_seconds(self.now);
         if self.idle_connections.should_close(self.now, connection_idle_seconds) {
@@ -61,11 +61,7 @@
         let ends_early = !self.settings.cancellation && request.useful_until < request.deadline;
         let timeout = ends_early.then(|| Duration::from_secs_f64(useful_seconds));
         self.actions.push(Action::SendAttempt { id, upstream: upstream.id, timeout });
-        self.requests.overdue_checks.insert(OverdueCheck {
-            due: self.elapsed + Duration::from_secs_f64(overdue_after),
-            request: id,
-            attempt: AttemptIndex(request.attempts.len() as u8),
-        });
+        let index = AttemptIndex(request.attempts.len() as u8);
         request.attempts.push(Attempt {
             upstream: upstream.id,
             zone: upstream.zone,
@@ -76,6 +72,11 @@
             overdue: false,
             connection_idle_seconds,
         });
+        self.requests.schedule_check(OverdueCheck {
+            due: self.elapsed + Duration::from_secs_f64(overdue_after),
+            request: id,
+            attempt: index,
+        });
     }
 
     /// An attempt has ended: the balancer learns from it, and its request ends, is retried, or gets its final
@@ -88,7 +89,7 @@
         latency: Duration,
         request_finished: bool,
     ) {
-        let Some(request) = self.requests.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let class = request.class;
         let Some(attempt) = request.attempt_in_flight(index) else { return };
         attempt.in_flight = false;
@@ -111,7 +112,7 @@
             self.retry_or_finish(id, possibly_executed);
         }
         if was_finished && !others_in_flight {
-            self.requests.requests.remove(&id);
+            self.requests.remove(id);
         }
     }
 
@@ -153,7 +154,7 @@
     /// Gives a request its final response when no attempt is in flight and none may follow. It is rejected
     /// only where the client can safely send it again.
     fn finish_without_response(&mut self, id: RequestId) {
-        let Some(request) = self.requests.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(id) else { return };
         let is_idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
         if is_idempotent || request.attempts.iter().all(|attempt| !attempt.possibly_executed) {
             let seconds_left = (request.deadline - self.now).max(0.0);
@@ -167,7 +168,7 @@
     /// Ends a request: nothing more is sent for it, and its attempts in flight are cancelled where that is
     /// allowed.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
-        let Some(request) = self.requests.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let was_finished = std::mem::replace(&mut request.finished, true);
         if !was_finished && self.settings.cancellation {
             for (index, _) in request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight) {
@@ -176,7 +177,7 @@
             }
         }
         if !request.has_attempt_in_flight() {
-            self.requests.requests.remove(&id);
+            self.requests.remove(id);
         }
     }
 }
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -78,6 +78,23 @@
         self.requests.len() + self.overdue_checks.len()
     }
 
+    /// Adds a request that was admitted.
+    fn insert(&mut self, id: RequestId, request: Request) {
+        self.requests.insert(id, request);
+    }
+
+    fn get(&self, id: RequestId) -> Option<&Request> {
+        self.requests.get(&id)
+    }
+
+    fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(&id)
+    }
+
+    fn remove(&mut self, id: RequestId) -> Option<Request> {
+        self.requests.remove(&id)
+    }
+
     /// Notes that the response of a request has started to stream.
     pub(crate) fn record_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
@@ -85,6 +102,10 @@
         }
     }
 
+    fn schedule_check(&mut self, check: OverdueCheck) {
+        self.overdue_checks.insert(check);
+    }
+
     /// Takes out the first check that is due.
     fn pop_due_check(&mut self, now: Duration) -> Option<OverdueCheck> {
         let check = *self.overdue_checks.first().filter(|check| check.due <= now)?;
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -55,7 +55,7 @@
 
     /// Marks an attempt as overdue, so that its upstream counts as loaded. Returns `None` if it has ended.
     fn mark_overdue(&mut self, check: OverdueCheck) -> Option<OverdueAttempt> {
-        let request = self.requests.requests.get_mut(&check.request)?;
+        let request = self.requests.get_mut(check.request)?;
         let class = request.class;
         let attempt_count = request.attempts.len();
         let useful_until = request.useful_until;
@@ -108,7 +108,7 @@
         let next = times.into_iter().find(|time| *time > self.now && *time < attempt.deadline);
         if let Some(next) = next {
             let wait = Duration::from_secs_f64((next - self.now).max(MIN_CHECK_SECONDS));
-            self.requests.overdue_checks.insert(OverdueCheck { due: self.elapsed + wait, ..check });
+            self.requests.schedule_check(OverdueCheck { due: self.elapsed + wait, ..check });
         }
     }
 }
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -68,7 +68,7 @@
     /// Sends a retry of a request, if the class, the time left and the budget allow one. Returns
     /// whether it was sent.
     pub(crate) fn retry(&mut self, id: RequestId, cost: f64) -> bool {
-        let Some(request) = self.requests.requests.get(&id) else { return false };
+        let Some(request) = self.requests.get(id) else { return false };
         if !self.may_retry(request) || !self.retry_budget.covers(cost) || self.upstreams.len() == 0 {
             return false;
         }
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -59,7 +59,7 @@
     pub(crate) fn record(&mut self, ratio: f64) {
         let ratio = ratio.min(MAX_RELATIVE_LATENCY_SAMPLE);
         self.samples += 1.0;
-        self.mean += (ratio - self.mean) / self.samples.max(1.0);
+        self.mean += (ratio - self.mean) / self.samples;
     }
 
     /// The mean, drawn towards 1 while there are few samples.
