--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -79,7 +79,7 @@
 
     /// Number of entries of state: upstreams (removed ones included until they are dropped), requests, and
     /// checks of attempts, which outlive their attempts until they fall due.
-    pub fn entries(&self) -> usize {
+    pub fn state_entry_count(&self) -> usize {
         self.upstreams.entries() + self.requests.entries()
     }
 
@@ -192,7 +192,7 @@
 
     fn poll_endpoints_if_due(&mut self) {
         let poll_interval = self.settings.poll_interval;
-        if self.settings.poll_endpoints
+        if self.settings.starts_watches
             && self.watch_schedule.take_due_call(self.now, poll_interval, &mut self.random)
         {
             self.actions.push(Action::WatchEndpoints);
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessStart {
     /// Long ago, or at a time that is not stated.
-    LongAgo,
+    Unknown,
     /// At this time on the embedder's clock.
     At(Duration),
     /// At a time on a wall clock, which may be stepped.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,7 +30,7 @@
 //!     cell: CellId(0),
 //!     availability: Availability::Ready,
 //!     weight: 1.0,
-//!     process_start: ProcessStart::LongAgo,
+//!     process_start: ProcessStart::Unknown,
 //! }];
 //! let known = Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &entries };
 //! balancer.handle(ms(0), known, &mut actions);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -110,7 +110,7 @@
     /// Share of the CPU in use.
     Utilization,
     /// Recent service time in milliseconds.
-    ServiceMs,
+    ServiceTimeMs,
     /// Requests served per second.
     RequestRate,
     /// Errors per second.
@@ -156,7 +156,7 @@
     pub weight_by_work: bool,
     /// The balancer begins each watch of the endpoint list itself, by
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints), and begins another when one has failed.
-    pub poll_endpoints: bool,
+    pub starts_watches: bool,
     /// A balancer that has not polled for this long counts as notified of all changes until then.
     pub poll_interval: Duration,
     /// The share of its full capacity that an upstream has at least when slow start begins.
@@ -210,7 +210,7 @@
             tenants: Vec::new(),
             over_quota_weight: 0.1,
             weight_by_work: false,
-            poll_endpoints: false,
+            starts_watches: false,
             poll_interval: Duration::from_secs(10),
             slow_start_floor: 0.3,
             slow_start_duration: Duration::from_secs(10),
--- a/crates/core/src/upstreams/load_reports.rs
+++ b/crates/core/src/upstreams/load_reports.rs
@@ -53,7 +53,10 @@
                     self.utilization = value.min(1.0);
                     self.utilization_at = now;
                 }
-                LoadField::ServiceMs | LoadField::RequestRate | LoadField::ErrorRate | LoadField::Other => {}
+                LoadField::ServiceTimeMs
+                | LoadField::RequestRate
+                | LoadField::ErrorRate
+                | LoadField::Other => {}
             }
         }
         if let Some(in_flight) = in_flight {
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -49,7 +49,7 @@
         let mut known = Self::default();
         let started_at = match told {
             // An upstream that appears after the first list is assumed to have just started.
-            ProcessStart::LongAgo => (!is_first_list).then_some(now),
+            ProcessStart::Unknown => (!is_first_list).then_some(now),
             ProcessStart::At(time) => Some(Timestamp::from_duration(time)),
             ProcessStart::ByWallClock { incarnation, age } => {
                 known.incarnation = Some(incarnation);
@@ -70,7 +70,7 @@
         settings: &Settings,
     ) -> Option<Timestamp> {
         let started_at = match told {
-            ProcessStart::LongAgo => return None,
+            ProcessStart::Unknown => return None,
             ProcessStart::At(time) => {
                 let time = Timestamp::from_duration(time);
                 if self.at.is_some_and(|known| time <= known) {
--- a/crates/core/tests/bounded_state.rs
+++ b/crates/core/tests/bounded_state.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    let entries = harness.balancer.entries();
+    let entries = harness.balancer.state_entry_count();
     assert!(entries <= 40, "{entries} entries after four upstreams were replaced 199 times");
 }
 
@@ -40,6 +40,6 @@
     harness.play_requests(2000, ms(20), |_| Some(Outcome::Ok));
     harness.advance(ms(2000));
 
-    let entries = harness.balancer.entries();
+    let entries = harness.balancer.state_entry_count();
     assert!(entries <= 20, "{entries} entries after two thousand requests");
 }
--- a/crates/core/tests/common/builders.rs
+++ b/crates/core/tests/common/builders.rs
@@ -48,7 +48,7 @@
             cell: CellId(0),
             availability: Availability::Ready,
             weight: 1.0,
-            process_start: ProcessStart::LongAgo,
+            process_start: ProcessStart::Unknown,
         };
         Self { entry }
     }
@@ -74,7 +74,7 @@
 
     /// Sets when the process of the endpoint started: slow start begins there.
     pub fn started_at(mut self, started_at: impl Into<Option<Duration>>) -> Self {
-        self.entry.process_start = started_at.into().map_or(ProcessStart::LongAgo, ProcessStart::At);
+        self.entry.process_start = started_at.into().map_or(ProcessStart::Unknown, ProcessStart::At);
         self
     }
 
@@ -177,8 +177,8 @@
     }
 
     /// Sets whether the balancer has to poll for the endpoint list.
-    pub fn poll_endpoints(mut self, poll_endpoints: bool) -> Self {
-        self.settings.poll_endpoints = poll_endpoints;
+    pub fn starts_watches(mut self, starts_watches: bool) -> Self {
+        self.settings.starts_watches = starts_watches;
         self
     }
 
@@ -247,7 +247,7 @@
         .classes(classes_of_each_retry_safety())
         .balancers(if is_sparse { 500 } else { 1 })
         .quotas(&[900.0, 2000.0, 0.0])
-        .poll_endpoints(is_sparse)
+        .starts_watches(is_sparse)
         .health_checks(is_sparse)
         .load_reports(reporting, &[LoadField::InFlight])
 }
--- a/crates/core/tests/endpoint_updates.rs
+++ b/crates/core/tests/endpoint_updates.rs
@@ -46,7 +46,7 @@
 /// there.
 #[test]
 fn failed_polls_are_repeated_with_backoff_and_the_known_endpoint_list_stays_in_use() {
-    let mut harness = BalancerHarness::new(settings().poll_endpoints(true).build(), &endpoints(2));
+    let mut harness = BalancerHarness::new(settings().starts_watches(true).build(), &endpoints(2));
 
     for _ in 0..6000 {
         let polls = harness.endpoint_polls.len();
@@ -69,7 +69,7 @@
 fn polls_are_never_so_far_apart_that_a_change_is_missed_after_discovery_has_recovered() {
     for poll_interval_ms in [2_000, 10_000, 60_000] {
         let poll_interval = ms(poll_interval_ms);
-        let settings = settings().poll_endpoints(true).poll_interval(poll_interval).build();
+        let settings = settings().starts_watches(true).poll_interval(poll_interval).build();
         let mut harness = BalancerHarness::new(settings, &endpoints(2));
 
         let mut last_poll_at = harness.now;
--- a/crates/core/tests/extreme_settings.rs
+++ b/crates/core/tests/extreme_settings.rs
@@ -114,7 +114,7 @@
         over_quota_weight in number(),
         cross_zone in number(),
         max_attempts in prop::sample::select(vec![1, 2, 250, u8::MAX]),
-        (hedging, cancellation, poll_endpoints, reports) in any::<(bool, bool, bool, bool)>(),
+        (hedging, cancellation, starts_watches, reports) in any::<(bool, bool, bool, bool)>(),
         weight_kind in prop::sample::select(vec![WeightKind::Ignored, WeightKind::Size, WeightKind::Live]),
     ) -> Settings {
         let reported = if reports { vec![LoadField::Utilization, LoadField::Queue] } else { Vec::new() };
@@ -130,7 +130,7 @@
             max_attempts,
             hedging,
             cancellation,
-            poll_endpoints,
+            starts_watches,
             weight_kind,
             load_report_fields: reported,
             ..times
--- a/crates/core/tests/golden/main.rs
+++ b/crates/core/tests/golden/main.rs
@@ -55,7 +55,7 @@
     for (position, scenario) in scenarios().into_iter().enumerate() {
         let name = scenario.name;
         let world = play(position, scenario);
-        found.push(recorded(name, world.hash.0, world.balancer.entries()));
+        found.push(recorded(name, world.hash.0, world.balancer.state_entry_count()));
     }
     assert_eq!(found, RECORDED);
 }
--- a/crates/core/tests/golden/scenario.rs
+++ b/crates/core/tests/golden/scenario.rs
@@ -49,7 +49,7 @@
 
 fn polled_list() -> Settings {
     Settings {
-        poll_endpoints: true,
+        starts_watches: true,
         poll_interval: Duration::from_secs(3),
         hedging: false,
         ..base_settings()
@@ -60,7 +60,7 @@
     Settings {
         weight_kind: WeightKind::Live,
         prices: Prices { cross_zone: 0.06, ..Prices::default() },
-        load_report_fields: vec![LoadField::Queue, LoadField::ServiceMs],
+        load_report_fields: vec![LoadField::Queue, LoadField::ServiceTimeMs],
         ..base_settings()
     }
 }
--- a/crates/core/tests/golden/world.rs
+++ b/crates/core/tests/golden/world.rs
@@ -127,7 +127,7 @@
             cell,
             availability,
             weight,
-            process_start: started.map_or(ProcessStart::LongAgo, ProcessStart::At),
+            process_start: started.map_or(ProcessStart::Unknown, ProcessStart::At),
         };
         self.upstreams.insert(id, SimulatedUpstream { entry, condition: Condition::Healthy });
         id
--- a/crates/core/tests/invariants/world.rs
+++ b/crates/core/tests/invariants/world.rs
@@ -307,7 +307,7 @@
                 self.health_checks.push(upstream);
             }
             Action::WatchEndpoints | Action::FetchEndpoints => {
-                assert!(self.settings.poll_endpoints, "polls are not needed");
+                assert!(self.settings.starts_watches, "polls are not needed");
             }
             Action::Log { .. } | Action::CloseIdleConnections { .. } => {}
             Action::CancelAttempt { id, attempt } => {
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -127,7 +127,7 @@
                 .balancers(balancers)
                 .index(index)
                 .max_attempts(4)
-                .poll_endpoints(false)
+                .starts_watches(false)
                 .slow_start(0.1, ms(20_000))
                 .overload(OVERLOAD_FACTOR, OVERLOAD_DURATION)
                 .quotas(&[700.0])
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -52,7 +52,7 @@
     /// A client of discovery at an address. The names of the site turn zones and hardware models into ids.
     pub fn new(address: SocketAddr, site: &Site, metrics: Rc<Metrics>) -> Self {
         let strategy =
-            if site.settings.poll_endpoints { CallStrategy::Sequential } else { CallStrategy::Overlapping };
+            if site.settings.starts_watches { CallStrategy::Sequential } else { CallStrategy::Overlapping };
         let log = Rc::<RateLimitedLog>::default();
         Self {
             caller: DiscoveryCaller::new(address, strategy, Rc::clone(&log), Rc::clone(&metrics)),
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -43,7 +43,7 @@
     /// The start of an upstream's process that discovery states in Unix time; 0 stands for long ago.
     pub(super) fn process_start(self, started_at_unix_ms: u64) -> ProcessStart {
         if started_at_unix_ms == 0 {
-            return ProcessStart::LongAgo;
+            return ProcessStart::Unknown;
         }
         let age = self.unix_time.saturating_sub(Duration::from_millis(started_at_unix_ms));
         ProcessStart::ByWallClock { incarnation: started_at_unix_ms, age }
--- a/crates/proxy/src/driver/clock/tests.rs
+++ b/crates/proxy/src/driver/clock/tests.rs
@@ -36,5 +36,5 @@
 
 #[test]
 fn zero_stands_for_long_ago() {
-    assert_eq!(WallClockReading::now().process_start(0), ProcessStart::LongAgo);
+    assert_eq!(WallClockReading::now().process_start(0), ProcessStart::Unknown);
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -66,7 +66,7 @@
 
 impl Driver {
     /// Starts a driver with the cached endpoint list from the configuration. `polls_endpoints` is
-    /// [`Settings::poll_endpoints`](balancer_core::Settings::poll_endpoints).
+    /// [`Settings::starts_watches`](balancer_core::Settings::starts_watches).
     pub fn start(
         balancer: Balancer,
         upstreams: Upstreams,
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -57,7 +57,7 @@
     let discovery = Discovery::new(listener.local_addr().unwrap(), &site, Rc::clone(&metrics));
     let balancer = Balancer::new(site.settings.clone(), SEED).unwrap();
     let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
-    let polls_endpoints = site.settings.poll_endpoints;
+    let polls_endpoints = site.settings.starts_watches;
     (Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), polls_endpoints, metrics), listener)
 }
 
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -88,7 +88,7 @@
         bind(config.listen).await.map_err(|source| StartupError::Bind { address: config.listen, source })?;
     let metrics = Rc::new(Metrics::default());
     let driver = start_driver(config, balancer, &metrics);
-    if !config.site.settings.poll_endpoints {
+    if !config.site.settings.starts_watches {
         wait_for_first_list(&driver).await;
     }
     // Clients can't connect earlier than this.
@@ -134,7 +134,7 @@
         "starting"
     );
     let metrics = Rc::clone(metrics);
-    Driver::start(balancer, upstreams, discovery, cached_endpoints, settings.poll_endpoints, metrics)
+    Driver::start(balancer, upstreams, discovery, cached_endpoints, settings.starts_watches, metrics)
 }
 
 /// Binds a socket that does not listen yet; retries while the address is occupied.
@@ -157,7 +157,7 @@
 }
 
 /// Waits for discovery's first complete message, as long as something arrives. Not used where the balancer
-/// decides when a watch is begun (`Settings::poll_endpoints`): discovery may be overloaded there by all
+/// decides when a watch is begun (`Settings::starts_watches`): discovery may be overloaded there by all
 /// processes that start at the same time.
 async fn wait_for_first_list(driver: &Driver) {
     let mut progress = driver.discovery_progress();
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -53,7 +53,7 @@
             over_quota_weight: object.over_quota_weight.unwrap_or(default.over_quota_weight),
             weight_by_work: object.weight_by.as_deref() == Some("work"),
             // "subscribe": the balancer itself begins each watch.
-            poll_endpoints: object.discovery.as_deref() == Some("subscribe"),
+            starts_watches: object.discovery.as_deref() == Some("subscribe"),
             poll_interval: duration_or(guarantees.poll_interval_ms, default.poll_interval),
             slow_start_floor: guarantees.slow_start_floor.unwrap_or(default.slow_start_floor),
             slow_start_duration: duration_or(guarantees.slow_start_duration_ms, default.slow_start_duration),
@@ -121,7 +121,7 @@
         "concurrent" | "inflight" => LoadField::InFlight,
         "depth" | "queue" => LoadField::Queue,
         "load_share" | "util" => LoadField::Utilization,
-        "mean_ms" | "latency_ms" => LoadField::ServiceMs,
+        "mean_ms" | "latency_ms" => LoadField::ServiceTimeMs,
         "tps" | "qps" => LoadField::RequestRate,
         "err_ps" | "eps" => LoadField::ErrorRate,
         _ => LoadField::Other,
--- a/crates/settings/tests/mapping.rs
+++ b/crates/settings/tests/mapping.rs
@@ -71,7 +71,7 @@
         tenants: vec![Tenant { quota_per_second: 11.5 }, Tenant { quota_per_second: 12.5 }],
         over_quota_weight: 0.45,
         weight_by_work: true,
-        poll_endpoints: true,
+        starts_watches: true,
         poll_interval: ms(201),
         slow_start_floor: 0.21,
         slow_start_duration: ms(202),
@@ -182,7 +182,7 @@
         ("concurrent", "inflight", LoadField::InFlight),
         ("depth", "queue", LoadField::Queue),
         ("load_share", "util", LoadField::Utilization),
-        ("mean_ms", "latency_ms", LoadField::ServiceMs),
+        ("mean_ms", "latency_ms", LoadField::ServiceTimeMs),
         ("tps", "qps", LoadField::RequestRate),
         ("err_ps", "eps", LoadField::ErrorRate),
     ] {
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -93,7 +93,7 @@
 fn read_process_start(reader: &mut FieldReader<'_>) -> Result<ProcessStart, WireError> {
     let ms = reader.f64("start time")?;
     let is_known = ms > 0.0;
-    Ok(if is_known { ProcessStart::At(duration_from_ms(ms)) } else { ProcessStart::LongAgo })
+    Ok(if is_known { ProcessStart::At(duration_from_ms(ms)) } else { ProcessStart::Unknown })
 }
 
 fn decode_start(reader: &mut FieldReader<'_>) -> Result<RecordBody, WireError> {
--- a/crates/simulator-adapter/src/decode/tests.rs
+++ b/crates/simulator-adapter/src/decode/tests.rs
@@ -92,7 +92,7 @@
         cell: CellId(0),
         availability: Availability::Ready,
         weight: 1.0,
-        process_start: ProcessStart::LongAgo,
+        process_start: ProcessStart::Unknown,
     };
     let second = EndpointEntry {
         id: UpstreamId(0x0a90_11f2_2bec),
