--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -3,76 +3,80 @@
 use crate::ids::{AttemptIndex, RequestId, TimerId, UpstreamId};
 use std::time::Duration;
 
-/// Why a request is rejected.
+/// Reason for which a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// The tenant's token bucket is empty.
     OverQuota,
-    /// No upstream can take a request.
+    /// No upstream can take the request.
     NoUpstream,
     /// All attempts failed and no retry is possible. The request was not executed, or its class is
-    /// idempotent.
+    /// idempotent, so the client can send it again.
     NoRetry,
 }
 
-/// Something that [`Balancer`](crate::Balancer) wants done. Actions are carried out in order.
+/// An operation that a [`Balancer`](crate::Balancer) asks its embedder to carry out. The embedder carries out
+/// actions in the order in which it gets them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an upstream.
+    /// Send a request to an upstream.
     SendAttempt {
-        /// The request.
+        /// Request to send.
         id: RequestId,
-        /// The upstream to send it to.
+        /// Upstream that the attempt is sent to.
         upstream: UpstreamId,
-        /// How long to wait for the response; `None` waits until the client's deadline.
+        /// Time to wait for the response, counted from sending; `None` stands for the client's deadline.
         timeout: Option<Duration>,
     },
-    /// Stop waiting for one attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// Attempt to cancel.
         attempt: AttemptIndex,
     },
-    /// Final response: the client can safely send the request again, because it was not executed or is
-    /// idempotent.
+    /// Send the client a rejection as the final response. The client can safely send the request again,
+    /// because it was not executed or is idempotent.
     Reject {
-        /// The request.
+        /// Request to reject.
         id: RequestId,
-        /// How long the client should wait before it sends the request again.
+        /// Time that the client should wait before it sends the request again; `None` if none is suggested.
         retry_after: Option<Duration>,
-        /// Why the request is rejected.
+        /// Reason for the rejection.
         reason: RejectionReason,
     },
-    /// Final response: the request failed and may have been executed.
+    /// Send the client an error as the final response. The request may have been executed.
     Fail {
-        /// The request.
+        /// Request that failed.
         id: RequestId,
     },
-    /// Deliver [`Event::TimerFired`](crate::Event::TimerFired) after some time.
+    /// Deliver [`Event::TimerFired`](crate::Event::TimerFired) once after a delay.
     SetTimer {
-        /// Time until the timer fires.
+        /// Delay until the timer fires.
         after: Duration,
-        /// The timer.
+        /// Identifier to deliver with the event.
         timer: TimerId,
     },
-    /// Begin to watch the endpoint list for changes.
+    /// Start a watch of the endpoint list.
     WatchEndpoints,
-    /// Fetch a snapshot of the endpoint list once. Not emitted at present.
+    /// Fetch a snapshot of the endpoint list once. The proxy and the simulator adapter support this action,
+    /// but the balancer never emits it.
     FetchEndpoints,
     /// Close the idle connections to an upstream. Connections in use stay open.
     CloseIdleConnections {
-        /// The upstream.
+        /// Upstream whose idle connections are closed.
         upstream: UpstreamId,
     },
-    /// Send a health check to an upstream. Not emitted at present.
+    /// Send a health check to an upstream. The proxy and the simulator adapter support this action, but the
+    /// balancer never emits it.
     CheckHealth {
-        /// The upstream.
+        /// Upstream to check.
         upstream: UpstreamId,
     },
-    /// Write a line to the log. Not emitted at present.
+    /// Write a line to the log. The proxy and the simulator adapter support this action, but the balancer
+    /// never emits it.
     Log {
-        /// The text of the line.
+        /// Text of the line.
         line: String,
     },
 }
--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -1,9 +1,10 @@
-//! The balancer: delivers each event to the modules that decide on it, and runs the tick.
+//! The balancer: dispatches each event to the modules that handle it, and runs the tick.
 //!
-//! On the ordinary path, every tick refills one token bucket per tenant by a guaranteed rate and a share, in
-//! proportion to demand, of the spare capacity W of the upstreams. A request that finds a token is admitted,
-//! any other is rejected on arrival. Admitted requests go round robin over the ready upstreams, skipping one
-//! that holds clearly more than the next ones. The other modules handle the exceptions to that path.
+//! In normal operation, each tick refills one token bucket per tenant. A bucket gets a guaranteed rate and,
+//! in proportion to the tenant's demand, a share of the upstreams' spare capacity W. A request is admitted if
+//! its tenant's bucket has a token, and rejected on arrival otherwise. Admitted requests are distributed over
+//! the ready upstreams by weighted round robin, which skips an upstream whose load is clearly higher than
+//! that of the next ones. The other modules handle failures, overload and changes of the endpoint list.
 
 use crate::action::Action;
 use crate::admission::Admission;
@@ -21,22 +22,22 @@
 use crate::watch_schedule::WatchSchedule;
 use std::time::Duration;
 
-/// The longest time that one tick accounts for.
+/// Maximum elapsed time that one tick accounts for.
 const MAX_TICK_SECONDS: f64 = 1.0;
-/// The timer of the tick.
+/// Identifier of the timer that runs the tick.
 const TICK_TIMER: TimerId = TimerId(0);
 
-/// The decisions of one balancer. See the documentation of the crate for its use.
+/// A load balancer that turns events into actions. See the documentation of the crate for its use.
 ///
-/// `Balancer::default()` has no request classes and fails every request.
+/// `Balancer::default()` has no request classes and answers every request with [`Action::Fail`].
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) settings: Settings,
-    /// Time of the present event on the embedder's clock.
-    pub(crate) elapsed: Duration,
-    /// The same in seconds.
+    /// Time of the current event on the embedder's clock.
+    pub(crate) event_time: Duration,
+    /// Time of the current event as a [`Timestamp`].
     pub(crate) now: Timestamp,
-    /// Actions in response to the present event.
+    /// Actions that result from the current event.
     pub(crate) actions: Vec<Action>,
     pub(crate) random: Random,
     pub(crate) upstreams: UpstreamSet,
@@ -49,18 +50,18 @@
     pub(crate) idle_connections: IdleConnections,
     pub(crate) last_tick_at: Timestamp,
     watch_schedule: WatchSchedule,
-    /// Requests per second that the tenants' quotas let this balancer expect.
+    /// Expected requests per second at this balancer, derived from the tenants' quotas.
     expected_rate: f64,
-    /// The first event has been handled.
+    /// Whether the first event has been handled.
     started: bool,
 }
 
 impl Balancer {
-    /// Creates a balancer. `seed` is its only source of chance.
+    /// Creates a balancer. All its random decisions derive from `seed`.
     ///
     /// # Errors
     ///
-    /// Fails if the settings are not valid, see [`Settings::validate`].
+    /// Returns an error if the settings are not valid; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let expected_rate = expected_rate(&settings);
@@ -77,17 +78,18 @@
         })
     }
 
-    /// Number of entries of state: upstreams (removed ones included until they are dropped), requests, and
-    /// checks of attempts, which outlive their attempts until they fall due.
+    /// Returns the number of entries in the balancer's state: upstreams (removed ones until they are
+    /// dropped), requests, and scheduled checks of attempts (until they are due, even if the attempt has
+    /// ended).
     pub fn state_entry_count(&self) -> usize {
-        self.upstreams.entries() + self.requests.entries()
+        self.upstreams.entries() + self.requests.state_entry_count()
     }
 
-    /// Handles one event and appends the resulting actions to `actions`. `now` must not be less than at the
-    /// event before.
+    /// Handles one event and appends the resulting actions to `actions`. `now` is the time on the embedder's
+    /// clock and must not be earlier than at the previous event.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
-        self.elapsed = now;
+        self.event_time = now;
         self.now = Timestamp::from_duration(now);
         if !self.started {
             self.start();
@@ -96,12 +98,13 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
+    /// Schedules the first tick and the first watch at the first event.
     fn start(&mut self) {
         self.started = true;
         self.last_tick_at = self.now;
         self.watch_schedule.start(self.now, self.settings.poll_interval, &mut self.random);
-        let first_tick_after = Duration::from_secs_f64(TICK_SECONDS * self.random.fraction());
-        self.actions.push(Action::SetTimer { after: first_tick_after, timer: TICK_TIMER });
+        let first_tick_delay = Duration::from_secs_f64(TICK_SECONDS * self.random.fraction());
+        self.actions.push(Action::SetTimer { after: first_tick_delay, timer: TICK_TIMER });
     }
 
     fn dispatch(&mut self, event: Event<'_>) {
@@ -141,26 +144,27 @@
         if scope != UpdateScope::Cached {
             self.watch_schedule.record_response();
         }
-        let needs_selection =
+        let needs_subset_selection =
             self.upstreams.apply_update(self.now, scope, entries, &self.settings, &mut self.random);
-        if needs_selection {
+        if needs_subset_selection {
             self.select_subset();
         } else {
             self.update_weights(0.0);
         }
     }
 
-    /// Refills the buckets from the capacity, then looks after overdue attempts and discovery.
+    /// Runs the periodic work: updates the weights, refills the token buckets, handles overdue attempts and
+    /// starts a watch if one is due.
     fn tick(&mut self) {
-        let since_last_tick = (self.now - self.last_tick_at).clamp(0.0, MAX_TICK_SECONDS);
+        let seconds_since_last_tick = (self.now - self.last_tick_at).clamp(0.0, MAX_TICK_SECONDS);
         self.last_tick_at = self.now;
         if self.upstreams.is_selection_due(self.now) {
             self.select_subset();
         }
-        self.update_weights(since_last_tick);
-        self.refill_buckets(since_last_tick);
+        self.update_weights(seconds_since_last_tick);
+        self.refill_buckets(seconds_since_last_tick);
         self.handle_overdue_attempts();
-        self.poll_endpoints_if_due();
+        self.start_watch_if_due();
         self.actions
             .push(Action::SetTimer { after: Duration::from_secs_f64(TICK_SECONDS), timer: TICK_TIMER });
     }
@@ -171,6 +175,7 @@
         self.update_weights(0.0);
     }
 
+    /// Updates the upstreams' weights, `elapsed` seconds after the last tick; 0 outside a tick.
     fn update_weights(&mut self, elapsed: f64) {
         self.upstreams.update_weights(&WeightInputs {
             now: self.now,
@@ -181,6 +186,7 @@
         });
     }
 
+    /// Estimates the spare capacity and refills the token buckets, `elapsed` seconds after the last tick.
     fn refill_buckets(&mut self, elapsed: f64) {
         self.latency.decay(self.now, elapsed, &self.settings);
         let upstreams: Vec<&Upstream> = self.upstreams.subset_members().collect();
@@ -190,7 +196,7 @@
         self.admission.refill(elapsed, &self.capacity);
     }
 
-    fn poll_endpoints_if_due(&mut self) {
+    fn start_watch_if_due(&mut self) {
         let poll_interval = self.settings.poll_interval;
         if self.settings.starts_watches
             && self.watch_schedule.take_due_call(self.now, poll_interval, &mut self.random)
@@ -200,7 +206,7 @@
     }
 }
 
-/// Requests per second that the tenants' quotas let each balancer expect.
+/// Returns the expected requests per second at each balancer, derived from the tenants' finite quotas.
 fn expected_rate(settings: &Settings) -> f64 {
     let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_second);
     let total: f64 = quotas.filter(|quota| quota.is_finite()).sum();
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -5,79 +5,81 @@
 };
 use std::time::Duration;
 
-/// Whether an upstream takes requests, according to the endpoint list.
+/// State of an upstream according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// The upstream accepts requests.
     Ready,
-    /// It finishes the requests it has and must get no new ones.
+    /// The upstream finishes its requests in flight and must not get new ones.
     Draining,
-    /// It no longer exists.
+    /// The upstream no longer exists.
     Removed,
 }
 
-/// One upstream in the endpoint list.
+/// Entry of the endpoint list; describes one upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The upstream.
+    /// Upstream that the entry describes.
     pub id: UpstreamId,
-    /// The failure domain it runs in.
+    /// Failure domain that the upstream runs in.
     pub zone: ZoneId,
-    /// The hardware it runs on. Not used by the present decisions.
+    /// Hardware model that the upstream runs on. The balancer does not use it.
     pub hardware: HardwareId,
-    /// The cell it belongs to.
+    /// Cell that the upstream belongs to.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Whether the upstream accepts requests.
     pub availability: Availability,
-    /// Its weight, to be read as [`Settings::weight_kind`](crate::Settings::weight_kind) says.
+    /// Weight of the upstream; [`Settings::weight_kind`](crate::Settings::weight_kind) defines its meaning.
     pub weight: f64,
-    /// When its process last started.
+    /// Last start of the upstream's process.
     pub process_start: ProcessStart,
 }
 
-/// When the process of an upstream last started, as an endpoint list says.
+/// Time at which the process of an upstream last started, according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessStart {
-    /// Long ago, or at a time that is not stated.
+    /// The list states no time, or the process started long ago. An upstream that appears after the first
+    /// list is then assumed to have just started.
     Unknown,
-    /// At this time on the embedder's clock.
+    /// Time on the embedder's clock.
     At(Duration),
-    /// At a time on a wall clock, which may be stepped.
+    /// Time on a wall clock, which may be stepped forwards or backwards.
     ByWallClock {
-        /// Tells one start of an upstream from another; equal for the same one.
+        /// Identifies the start: equal in all entries that state the same start, different for any other
+        /// start.
         incarnation: u64,
-        /// How long ago it was by the wall clock of this machine; zero if it lies ahead.
+        /// Time since the start by this machine's wall clock; zero if the start is in the future.
         age: Duration,
     },
 }
 
-/// How complete an update of the endpoint list is.
+/// Extent of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Only the entries that changed.
+    /// The update contains only the entries that changed.
     Delta,
-    /// The complete list: an upstream that it does not name has been removed.
+    /// The update is the complete list. Upstreams that it does not contain have been removed.
     Snapshot,
-    /// The complete list as this balancer last knew it, possibly out of date.
+    /// The update is the complete list as last known to the embedder, possibly out of date.
     Cached,
-    /// A call failed or the watch broke. The known list stays valid.
+    /// A call to discovery failed or the watch ended. The known list stays valid.
     Failed,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The upstream served the request.
     Ok,
     /// The upstream responded with an error. The request may have been executed.
     Error,
-    /// The upstream rejected the request without executing it: its queue is full, or it is draining.
+    /// The upstream rejected the request without executing it, because its queue is full or it is draining.
     Rejected,
-    /// No response in time. The request may have been executed, or may still be.
+    /// No response arrived in time. The request may have been executed or may still be in progress.
     TimedOut,
     /// No connection was established in time. The request was not executed.
     ConnectFailed,
-    /// The connection broke. The request may have been executed.
+    /// The connection failed during the attempt. The request may have been executed.
     Reset,
     /// The attempt was cancelled. The request may have been executed.
     Cancelled,
@@ -86,83 +88,87 @@
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the upstream did not execute the request.
+    /// Returns whether this outcome proves that the upstream did not execute the request.
     pub fn proves_not_executed(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// Something that has happened, delivered to [`Balancer::handle`](crate::Balancer::handle).
+/// Input that the embedder delivers to [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// An update of the endpoint list. The first event that a balancer gets is a [`UpdateScope::Cached`] one.
+    /// The endpoint list was updated, or an update failed. The first event that an embedder delivers is an
+    /// update with [`UpdateScope::Cached`].
     EndpointUpdate {
-        /// How complete the update is.
+        /// Extent of the update.
         scope: UpdateScope,
-        /// The entries of the update.
+        /// Entries of the update; ignored with [`UpdateScope::Failed`].
         entries: &'a [EndpointEntry],
     },
-    /// A client has sent a request.
+    /// A request arrived from a client.
     RequestArrived {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassId,
-        /// The tenant that sent it.
+        /// Tenant that sent the request.
         tenant: TenantId,
-        /// How long the client is still going to wait.
+        /// Time until the client's deadline.
         time_left: Duration,
-        /// Expected work on a standard core in milliseconds, where known. Not used by the present decisions.
+        /// Expected work of the request in milliseconds on a standard core; `None` if unknown. The balancer
+        /// does not use it.
         expected_work_ms: Option<f64>,
-        /// The client marks the request as a retry of its own. Not used by the present decisions.
+        /// Whether the client marked the request as a retry of its own. The balancer does not use it.
         is_client_retry: bool,
     },
-    /// A streamed response has started: the request no longer has a deadline.
+    /// A streamed response started. The request no longer has a deadline.
     StreamStarted {
-        /// The request.
+        /// Request whose response is streamed.
         id: RequestId,
-        /// The attempt that streams.
+        /// Attempt whose response is streamed. The balancer does not use it.
         attempt: AttemptIndex,
-        /// Time since the attempt was sent.
+        /// Time since the attempt was sent. The balancer does not use it.
         latency: Duration,
     },
-    /// An attempt has ended. Delivered once for each attempt.
+    /// An attempt ended. The embedder delivers this event once for each attempt.
     AttemptEnded {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// Attempt that ended.
         attempt: AttemptIndex,
-        /// The upstream that it was sent to.
+        /// Upstream that the attempt was sent to.
         upstream: UpstreamId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: Duration,
-        /// The request has its final response, by this outcome or an earlier one.
+        /// Whether the request has its final response, from this attempt or an earlier one.
         request_finished: bool,
-        /// The load report that came with the response, its values in the order of
-        /// [`Settings::load_report_fields`](crate::Settings::load_report_fields); empty if none came.
+        /// Load report of the response, with its values in the order of
+        /// [`Settings::load_report_fields`](crate::Settings::load_report_fields); empty without a report.
         load_report: &'a [f32],
     },
-    /// The client has disconnected. It needs no response.
+    /// The client disconnected before the end of its request and needs no response.
     ClientDisconnected {
-        /// The request.
+        /// Request of the client.
         id: RequestId,
     },
-    /// A health check has ended.
+    /// A health check ended. The proxy and the simulator adapter deliver this event, but the balancer never
+    /// requests a health check. The balancer uses only the load report.
     HealthCheckEnded {
-        /// The upstream that was checked.
+        /// Upstream that was checked.
         upstream: UpstreamId,
-        /// How the check ended.
+        /// Outcome of the check. The balancer does not use it.
         outcome: Outcome,
-        /// Time since the check was sent.
+        /// Time since the check was sent. The balancer does not use it.
         latency: Duration,
-        /// The load report that came with the response; empty if none came.
+        /// Load report of the response, with its values in the order of
+        /// [`Settings::load_report_fields`](crate::Settings::load_report_fields); empty without a report.
         load_report: &'a [f32],
     },
-    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired {
-        /// The timer.
+        /// Identifier that the timer was set with.
         timer: TimerId,
     },
 }
--- a/crates/core/src/requests/arrival.rs
+++ b/crates/core/src/requests/arrival.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive, and rejections.
+//! Admission and rejection of arriving requests.
 
 use crate::action::{Action, RejectionReason};
 use crate::balancer::Balancer;
@@ -8,15 +8,15 @@
 use crate::upstreams::UpstreamPosition;
 use std::time::Duration;
 
-/// Share of the latency objective after which a response is of no use where late ones earn nothing: the rest
-/// is for the way back to the client.
+/// Share of the latency objective after which a response is useless in a class whose late responses have no
+/// value. The rest of the objective is left for sending the response to the client.
 const USEFUL_SHARE_OF_OBJECTIVE: f64 = 0.98;
-/// Least share of the longest Retry-After that a rejected client gets.
+/// Lowest Retry-After of a rejected request, as a share of the longest possible one.
 const MIN_RETRY_AFTER_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Admits a request if its tenant's bucket has a token and an upstream can take it; rejects it at once
-    /// otherwise.
+    /// Admits a request and sends its first attempt if its tenant's bucket has a token and an upstream can
+    /// take it. Rejects the request at once otherwise. Fails a request of an unknown class.
     pub(crate) fn handle_arrival(
         &mut self,
         id: RequestId,
@@ -34,7 +34,7 @@
             self.reject(id, time_left, RejectionReason::OverQuota);
             return;
         }
-        let Some(upstream) = self.choose_upstream(class) else {
+        let Some(position) = self.choose_upstream(class) else {
             self.reject(id, time_left, RejectionReason::NoUpstream);
             return;
         };
@@ -43,11 +43,11 @@
         self.latency.record_admission(class);
         let request = self.new_request(class, time_left);
         self.requests.insert(id, request);
-        self.send_attempt(id, upstream);
+        self.send_attempt(id, position);
     }
 
-    /// The position of the upstream for a new request of a class: one that is due for a probe, or else the
-    /// next one in the rotation.
+    /// Returns the position of the upstream for a new request of a class: an ejected upstream if a probe
+    /// request is due, otherwise the next one in the rotation.
     fn choose_upstream(&mut self, class: usize) -> Option<UpstreamPosition> {
         self.round_robin.drop_unusable_turns(&self.upstreams);
         if let Some(position) = self.upstreams.take_due_probe(self.now, class, &mut self.random) {
@@ -56,25 +56,26 @@
         self.round_robin.next_upstream(&mut self.upstreams, class, self.last_tick_at)
     }
 
+    /// Creates the state of an admitted request.
     fn new_request(&self, class: usize, time_left: Duration) -> Request {
         let deadline = self.now + time_left.as_secs_f64();
         let class_settings = &self.settings.classes[class];
-        let is_useful_late = class_settings.late_priority_weight > 0.0
+        let is_useful_when_late = class_settings.late_priority_weight > 0.0
             || class_settings.latency_objective_stretch > 0.0
             || class_settings.streamed;
-        let objective = class_settings.latency_objective.as_secs_f64();
-        let objective_ends_at = self.now + USEFUL_SHARE_OF_OBJECTIVE * objective;
-        let useful_until = if is_useful_late { deadline } else { deadline.min(objective_ends_at) };
+        let objective_seconds = class_settings.latency_objective.as_secs_f64();
+        let objective_useful_until = self.now + USEFUL_SHARE_OF_OBJECTIVE * objective_seconds;
+        let useful_until = if is_useful_when_late { deadline } else { deadline.min(objective_useful_until) };
         Request::new(class, useful_until, deadline)
     }
 
-    /// Rejects a request. The Retry-After is spread by the request's id, so that clients rejected together do
-    /// not return together.
+    /// Rejects a request. The Retry-After is jittered by the request's id, so that clients rejected at the
+    /// same time do not all retry at the same time.
     pub(crate) fn reject(&mut self, id: RequestId, time_left: Duration, reason: RejectionReason) {
-        let longest = self.settings.max_retry_after.min(time_left / 2);
-        let spread = Random::with_seed(u64::from(id.0)).fraction();
-        let share = MIN_RETRY_AFTER_SHARE + (1.0 - MIN_RETRY_AFTER_SHARE) * spread;
-        let retry_after = Some(longest.mul_f64(share));
+        let max_retry_after = self.settings.max_retry_after.min(time_left / 2);
+        let jitter = Random::with_seed(u64::from(id.0)).fraction();
+        let share = MIN_RETRY_AFTER_SHARE + (1.0 - MIN_RETRY_AFTER_SHARE) * jitter;
+        let retry_after = Some(max_retry_after.mul_f64(share));
         self.actions.push(Action::Reject { id, retry_after, reason });
     }
 }
--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending them, what their outcomes lead to, and the end of their requests.
+//! Sending of attempts, handling of their outcomes, and the end of requests.
 
 use crate::action::{Action, RejectionReason};
 use crate::balancer::Balancer;
@@ -11,20 +11,20 @@
 use crate::upstreams::{AttemptResult, UpstreamPosition, is_fast};
 use std::time::Duration;
 
-/// Longest remaining time, in seconds, so that it can be converted to a `Duration`.
+/// Maximum remaining time of a request, in seconds; keeps the conversion to a `Duration` in range.
 const MAX_TIME_LEFT_SECONDS: f64 = 1e6;
-/// The shortest timeout of an attempt, in seconds.
+/// Minimum timeout of an attempt, in seconds.
 const MIN_TIMEOUT_SECONDS: f64 = 1e-3;
 
-/// An attempt that has ended.
+/// Data of an ended attempt that the statistics and outlier detection need.
 struct EndedAttempt {
     upstream: UpstreamId,
     class: usize,
     was_overdue: bool,
     connection_idle_seconds: f64,
     outcome: Outcome,
-    /// Time since it was sent, in seconds.
-    latency: f64,
+    /// Time since the attempt was sent.
+    latency_seconds: f64,
 }
 
 impl EndedAttempt {
@@ -32,18 +32,20 @@
         self.outcome == Outcome::Ok
     }
 
-    /// How the attempt counts for latency; `None` if it says nothing of it.
+    /// Returns the attempt's sample for the latency statistics; `None` if it was neither served nor
+    /// abandoned.
     fn latency_sample(&self, result: &AttemptResult) -> Option<LatencySample> {
         if self.is_served() {
-            Some(LatencySample::Served(self.latency))
+            Some(LatencySample::Served(self.latency_seconds))
         } else {
-            result.is_abandoned().then_some(LatencySample::Abandoned(self.latency))
+            result.is_abandoned().then_some(LatencySample::Abandoned(self.latency_seconds))
         }
     }
 }
 
 impl Balancer {
-    /// Sends an attempt of a request to the upstream at a position.
+    /// Sends the next attempt of a request to the upstream at a position, and schedules the check that finds
+    /// it overdue.
     pub(crate) fn send_attempt(&mut self, id: RequestId, position: UpstreamPosition) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let upstream = self.upstreams.at_mut(position);
@@ -54,12 +56,13 @@
         }
         upstream.record_attempt_sent(self.now);
         let class = &self.settings.classes[request.class];
-        let overdue_after = self.latency.class(request.class).overdue_after(class);
-        // Where attempts must not be cancelled, one is waited for only as long as its response is of use.
+        let overdue_after_seconds = self.latency.class(request.class).overdue_after(class);
+        // An attempt that cannot be cancelled later gets a timeout, which ends the wait once its response is
+        // useless.
         let useful_seconds =
             (request.useful_until - self.now).clamp(MIN_TIMEOUT_SECONDS, MAX_TIME_LEFT_SECONDS);
-        let ends_early = !self.settings.cancellation && request.useful_until < request.deadline;
-        let timeout = ends_early.then(|| Duration::from_secs_f64(useful_seconds));
+        let needs_timeout = !self.settings.cancellation && request.useful_until < request.deadline;
+        let timeout = needs_timeout.then(|| Duration::from_secs_f64(useful_seconds));
         self.actions.push(Action::SendAttempt { id, upstream: upstream.id, timeout });
         let index = AttemptIndex(request.attempts.len() as u8);
         request.attempts.push(Attempt {
@@ -73,14 +76,14 @@
             connection_idle_seconds,
         });
         self.requests.schedule_check(OverdueCheck {
-            due: self.elapsed + Duration::from_secs_f64(overdue_after),
+            due_at: self.event_time + Duration::from_secs_f64(overdue_after_seconds),
             request: id,
             attempt: index,
         });
     }
 
-    /// An attempt has ended: the balancer learns from it, and its request ends, is retried, or gets its final
-    /// response.
+    /// Handles the end of an attempt: records it in the statistics, and finishes or retries its request
+    /// unless another attempt is in flight.
     pub(crate) fn handle_attempt_end(
         &mut self,
         id: RequestId,
@@ -97,7 +100,7 @@
         let possibly_executed = attempt.possibly_executed;
         let ended = EndedAttempt {
             upstream: attempt.upstream,
-            latency: latency.as_secs_f64(),
+            latency_seconds: latency.as_secs_f64(),
             connection_idle_seconds: attempt.connection_idle_seconds,
             class,
             outcome,
@@ -116,30 +119,32 @@
         }
     }
 
-    /// Retries a request whose last attempt in flight has ended, or gives it its final response.
+    /// Retries a request whose last attempt in flight ended, or sends its final response if no retry is
+    /// possible.
     fn retry_or_finish(&mut self, id: RequestId, possibly_executed: bool) {
         let cost = if possibly_executed { RETRY_COST } else { RETRY_COST_NOT_EXECUTED };
         if !self.retry(id, cost) {
-            self.finish_without_response(id);
+            self.reject_or_fail(id);
         }
     }
 
-    /// Learns from the end of an attempt: capacity, latency, idle connections and outliers.
+    /// Records the end of an attempt in the capacity and latency statistics, for the detection of dropped
+    /// idle connections, and for outlier detection.
     fn record_attempt_end(&mut self, ended: &EndedAttempt) {
         let class = &self.settings.classes[ended.class];
         let class_latency = self.latency.class_mut(ended.class);
-        // Relative to the mean before this attempt is recorded.
-        let relative_latency = ended.latency / class_latency.mean().max(1e-6);
+        // The mean here does not include this attempt yet.
+        let relative_latency = ended.latency_seconds / class_latency.mean().max(1e-6);
         if ended.is_served() {
             self.capacity.record_completion();
-            class_latency.record_served(ended.latency);
+            class_latency.record_served(ended.latency_seconds);
         }
-        let objective = class.latency_objective.as_secs_f64();
+        let objective_seconds = class.latency_objective.as_secs_f64();
         let result = AttemptResult {
             class: ended.class,
             outcome: ended.outcome,
             was_overdue: ended.was_overdue,
-            class_is_fast: is_fast(class_latency.served_mean(), objective),
+            class_is_fast: is_fast(class_latency.served_mean(), objective_seconds),
         };
         let sample = ended.latency_sample(&result);
         if let Some(sample) = sample {
@@ -151,9 +156,9 @@
         self.upstreams.record_attempt_end(self.now, upstream, result, relative_latency, &mut self.random);
     }
 
-    /// Gives a request its final response when no attempt is in flight and none may follow. It is rejected
-    /// only where the client can safely send it again.
-    fn finish_without_response(&mut self, id: RequestId) {
+    /// Sends the final response of a request that has no attempt in flight and cannot be retried. The request
+    /// is rejected if the client can safely send it again; otherwise it fails.
+    fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(id) else { return };
         let is_idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
         if is_idempotent || request.attempts.iter().all(|attempt| !attempt.possibly_executed) {
@@ -165,8 +170,8 @@
         }
     }
 
-    /// Ends a request: nothing more is sent for it, and its attempts in flight are cancelled where that is
-    /// allowed.
+    /// Marks a request as finished, so that no more attempts are sent for it. Cancels its attempts in flight
+    /// if the settings allow cancellation.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let was_finished = std::mem::replace(&mut request.finished, true);
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: admission, attempts, retries, hedged requests and final responses.
+//! Requests in flight: their admission, attempts, retries, hedged requests and final responses.
 
 mod arrival;
 mod attempt;
@@ -21,23 +21,24 @@
     pub(crate) cell: CellId,
     pub(crate) sent_at: Timestamp,
     pub(crate) in_flight: bool,
-    /// The upstream may have executed it, by its outcome.
+    /// Whether the upstream may have executed the request, according to the outcome. `false` while in flight.
     pub(crate) possibly_executed: bool,
+    /// Whether the attempt takes, or took, longer than is typical of its class.
     pub(crate) overdue: bool,
-    /// How long its connection had been idle.
+    /// Time for which the upstream's connections had been idle when the attempt was sent.
     pub(crate) connection_idle_seconds: f64,
 }
 
-/// A request that has no final response yet, or has attempts still in flight.
+/// A request that has no final response yet or still has attempts in flight.
 pub(crate) struct Request {
     pub(crate) class: usize,
-    /// A response after this time earns nothing.
+    /// Time after which a response has no value.
     pub(crate) useful_until: Timestamp,
     pub(crate) deadline: Timestamp,
     pub(crate) attempts: Vec<Attempt>,
-    /// It has its final response, or its client has disconnected.
+    /// Whether the request has its final response or its client has disconnected.
     pub(crate) finished: bool,
-    /// Its response has started to stream.
+    /// Whether its response is being streamed.
     pub(crate) streaming: bool,
 }
 
@@ -46,26 +47,27 @@
         Self { class, useful_until, deadline, attempts: Vec::new(), finished: false, streaming: false }
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// An attempt by its index, if it is in flight.
+    /// Returns the attempt at an index if it is in flight.
     fn attempt_in_flight(&mut self, index: AttemptIndex) -> Option<&mut Attempt> {
         self.attempts.get_mut(usize::from(index.0)).filter(|attempt| attempt.in_flight)
     }
 }
 
-/// When an attempt in flight is looked at as overdue; ordered by time.
+/// A scheduled check of whether an attempt is still in flight and thus overdue. Ordered by due time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueCheck {
-    due: Duration,
+    /// Due time on the embedder's clock.
+    due_at: Duration,
     request: RequestId,
     attempt: AttemptIndex,
 }
 
-/// All requests in flight, and when their attempts become overdue.
+/// All requests in flight and the scheduled checks of their attempts.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: FxHashMap<RequestId, Request>,
@@ -73,12 +75,12 @@
 }
 
 impl RequestTable {
-    /// Number of entries of state.
-    pub(crate) fn entries(&self) -> usize {
+    /// Returns the number of requests and scheduled checks.
+    pub(crate) fn state_entry_count(&self) -> usize {
         self.requests.len() + self.overdue_checks.len()
     }
 
-    /// Adds a request that was admitted.
+    /// Adds an admitted request.
     fn insert(&mut self, id: RequestId, request: Request) {
         self.requests.insert(id, request);
     }
@@ -95,7 +97,7 @@
         self.requests.remove(&id)
     }
 
-    /// Notes that the response of a request has started to stream.
+    /// Records that the response of a request is being streamed.
     pub(crate) fn record_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
@@ -106,9 +108,9 @@
         self.overdue_checks.insert(check);
     }
 
-    /// Takes out the first check that is due.
+    /// Removes and returns the earliest check that is due.
     fn pop_due_check(&mut self, now: Duration) -> Option<OverdueCheck> {
-        let check = *self.overdue_checks.first().filter(|check| check.due <= now)?;
+        let check = *self.overdue_checks.first().filter(|check| check.due_at <= now)?;
         self.overdue_checks.remove(&check);
         Some(check)
     }
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -1,4 +1,4 @@
-//! Overdue attempts: those that take longer than is typical of their class.
+//! Handling of overdue attempts, which take longer than is typical of their class.
 
 use crate::action::Action;
 use crate::balancer::Balancer;
@@ -8,39 +8,41 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Overdue attempts, with no response since they were sent, from which an upstream counts as silent. Fewer
-/// can be normal: one attempt in twenty exceeds the typical latency.
-const SILENT_OVERDUE_ATTEMPTS: u32 = 3;
-/// The shortest time to the next check, in seconds.
-const MIN_CHECK_SECONDS: f64 = 1e-6;
+/// Minimum number of overdue attempts at an upstream that counts as unresponsive. The upstream must also have
+/// sent no response since the checked attempt was sent. Fewer can be normal, because one attempt in twenty
+/// exceeds the typical latency.
+const MIN_OVERDUE_ATTEMPTS_IF_UNRESPONSIVE: u32 = 3;
+/// Minimum time until the next check, in seconds.
+const MIN_CHECK_DELAY_SECONDS: f64 = 1e-6;
 
-/// An attempt that was found to be overdue.
+/// An attempt that a check found to be overdue.
 struct OverdueAttempt {
     class: usize,
-    /// How many attempts its request has.
+    /// Number of attempts of its request, ended ones included.
     attempt_count: usize,
-    /// It was not overdue before.
+    /// Whether this check is the first to find it overdue.
     newly_overdue: bool,
-    /// Its upstream has several overdue attempts and has not responded since this one was sent, or is no
-    /// longer known.
-    upstream_is_silent: bool,
-    /// When it has taken so long that it may be given up for a retry.
+    /// Whether its upstream has several overdue attempts and has not responded since this attempt was sent.
+    /// Also `true` if the upstream is no longer known.
+    upstream_is_unresponsive: bool,
+    /// Time from which it may be cancelled in favour of a retry.
     long_overdue_at: Timestamp,
-    /// When its response is no longer of use.
+    /// Time after which its response has no value.
     useful_until: Timestamp,
     deadline: Timestamp,
 }
 
 impl Balancer {
-    /// Handles all attempts whose overdue check has fallen due.
+    /// Runs all overdue checks that are due.
     pub(crate) fn handle_overdue_attempts(&mut self) {
-        while let Some(check) = self.requests.pop_due_check(self.elapsed) {
+        while let Some(check) = self.requests.pop_due_check(self.event_time) {
             self.handle_overdue_attempt(check);
         }
     }
 
-    /// An attempt takes longer than is typical: it may be cancelled or hedged. It is checked again when a
-    /// retry would still be in time, and when its response is no longer of use.
+    /// Cancels an overdue attempt or schedules its next check, and hedges its request when the attempt has
+    /// just become overdue. The later checks are due when a retry would still be in time, and when the
+    /// response becomes useless.
     fn handle_overdue_attempt(&mut self, check: OverdueCheck) {
         let Some(attempt) = self.mark_overdue(check) else { return };
         if self.should_cancel(&attempt) {
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Marks an attempt as overdue, so that its upstream counts as loaded. Returns `None` if it has ended.
+    /// Marks an attempt as overdue, which raises its upstream's estimated load. Returns `None` if the attempt
+    /// has ended.
     fn mark_overdue(&mut self, check: OverdueCheck) -> Option<OverdueAttempt> {
         let request = self.requests.get_mut(check.request)?;
         let class = request.class;
@@ -62,36 +65,38 @@
         let deadline = request.deadline;
         let attempt = request.attempt_in_flight(check.attempt)?;
         let newly_overdue = !std::mem::replace(&mut attempt.overdue, true);
-        let mut upstream_is_silent = true;
+        let mut upstream_is_unresponsive = true;
         if let Some(upstream) = self.upstreams.get_mut(attempt.upstream) {
             upstream.overdue_attempts += u32::from(newly_overdue);
-            upstream_is_silent = upstream.outlier.last_response_at() <= attempt.sent_at
-                && upstream.overdue_attempts >= SILENT_OVERDUE_ATTEMPTS;
+            upstream_is_unresponsive = upstream.outlier.last_response_at() <= attempt.sent_at
+                && upstream.overdue_attempts >= MIN_OVERDUE_ATTEMPTS_IF_UNRESPONSIVE;
         }
         let long_overdue_after = self.latency.class(class).long_overdue_after(&self.settings.classes[class]);
         Some(OverdueAttempt {
             class,
             attempt_count,
             newly_overdue,
-            upstream_is_silent,
+            upstream_is_unresponsive,
             long_overdue_at: attempt.sent_at + long_overdue_after,
             useful_until,
             deadline,
         })
     }
 
-    /// Whether an attempt is cancelled: only at a silent upstream, because any other would do its work for
-    /// nobody, or twice. A single attempt without a response is no sign of silence, as each balancer gets few
-    /// responses of one upstream.
+    /// Returns whether to cancel an attempt. Attempts are cancelled only at an unresponsive upstream. Any
+    /// other upstream would do its work in vain, or the work would be done twice. A single attempt without a
+    /// response does not show that an upstream is unresponsive, because each balancer gets few responses from
+    /// one upstream.
     fn should_cancel(&self, attempt: &OverdueAttempt) -> bool {
         let is_useless = self.now >= attempt.useful_until;
         self.settings.cancellation
-            && attempt.upstream_is_silent
-            && (is_useless || self.may_retry_instead(attempt))
+            && attempt.upstream_is_unresponsive
+            && (is_useless || self.may_cancel_for_retry(attempt))
     }
 
-    /// Whether an attempt may be given up for a retry, where hedged requests are not allowed.
-    fn may_retry_instead(&self, attempt: &OverdueAttempt) -> bool {
+    /// Returns whether an attempt may be cancelled in favour of a retry. Applies only if the settings do not
+    /// allow hedged requests.
+    fn may_cancel_for_retry(&self, attempt: &OverdueAttempt) -> bool {
         let class = &self.settings.classes[attempt.class];
         class.retry_safety != RetrySafety::AtMostOnce
             && !class.streamed
@@ -101,8 +106,8 @@
             && self.retry_budget.covers(RETRY_COST)
     }
 
-    /// Checks an attempt again at `long_overdue_at` and at `useful_until`, whichever comes next; never at the
-    /// deadline or later.
+    /// Schedules the next check of an attempt at `long_overdue_at` or `useful_until`, whichever comes next.
+    /// Does not schedule a check at the deadline or later.
     fn schedule_next_check(&mut self, check: OverdueCheck, attempt: &OverdueAttempt) {
         let times = [attempt.long_overdue_at, attempt.useful_until];
         let next = times
@@ -110,8 +115,8 @@
             .filter(|time| *time > self.now && *time < attempt.deadline)
             .fold(Timestamp::DISTANT_FUTURE, Timestamp::min);
         if next < Timestamp::DISTANT_FUTURE {
-            let wait = Duration::from_secs_f64((next - self.now).max(MIN_CHECK_SECONDS));
-            self.requests.schedule_check(OverdueCheck { due: self.elapsed + wait, ..check });
+            let delay = Duration::from_secs_f64((next - self.now).max(MIN_CHECK_DELAY_SECONDS));
+            self.requests.schedule_check(OverdueCheck { due_at: self.event_time + delay, ..check });
         }
     }
 }
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: the budget for them, which upstreams may take one, and whether it is safe.
+//! Retries: their budget, the choice of an upstream, and whether a retry is safe.
 
 use crate::balancer::Balancer;
 use crate::ids::RequestId;
@@ -6,55 +6,62 @@
 use crate::settings::{DeduplicationScope, RetrySafety};
 use crate::upstreams::{Upstream, UpstreamPosition};
 
-/// What a retry costs, in retries of the budget.
+/// Budget that a retry takes.
 pub(super) const RETRY_COST: f64 = 1.0;
-/// What a retry costs where the attempt before it was not executed: it adds no work to the upstreams.
+/// Budget that a retry takes if the previous attempt was not executed. The retry then adds no work to the
+/// upstreams.
 pub(super) const RETRY_COST_NOT_EXECUTED: f64 = 0.1;
-/// What a hedged request costs.
+/// Budget that a hedged request takes.
 pub(super) const HEDGE_COST: f64 = 1.0;
-/// Retries that each admitted request adds to the budget.
-const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Seconds of the expected rate whose retries can be saved up. Short, because the savings of all balancers
-/// fall due together.
-const SAVED_SECONDS: f64 = 1.5;
-/// The least number of retries that can be saved up.
-const MIN_SAVED_RETRIES: f64 = 1.0;
-/// The largest number of retries that can be saved up.
-const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Upstreams that are compared for a retry.
+/// Budget that each admitted request adds.
+const BUDGET_PER_ADMITTED_REQUEST: f64 = 0.1;
+/// Seconds in which the expected rate of requests fills an empty budget. The time is short because all
+/// balancers may spend their accumulated budgets at the same time.
+const BUDGET_FILL_SECONDS: f64 = 1.5;
+/// Minimum capacity of the budget, and its initial content.
+const MIN_BUDGET_CAPACITY: f64 = 1.0;
+/// Maximum capacity of the budget.
+const MAX_BUDGET_CAPACITY: f64 = 10.0;
+/// Maximum number of upstreams whose loads are compared for a retry.
 const MAX_CANDIDATES: usize = 6;
-/// The least time that a retry needs before the deadline, in seconds.
+/// Minimum time that must be left before the deadline to send a retry, in seconds.
 const MIN_SECONDS_BEFORE_DEADLINE: f64 = 1e-3;
-/// Share of the class's mean latency that must be left before the response becomes useless.
-const MIN_LATENCY_LEFT: f64 = 0.5;
-/// Time that an attempt may need to reach its upstream beyond the connect timeout, in seconds.
+/// Minimum time that must be left before a response becomes useless to send a retry, as a share of the
+/// class's mean latency.
+const MIN_SHARE_OF_MEAN_LATENCY_LEFT: f64 = 0.5;
+/// Time that an attempt may take to reach its upstream in addition to the connect timeout, in seconds.
 const TRANSIT_SECONDS: f64 = 0.05;
-/// Load that an upstream in another zone counts as having more.
-const OTHER_ZONE_LOAD: f64 = 1e6;
-/// Load that an upstream outside the subset counts as having more: it is used only where none inside will do,
-/// as for an idempotency key known to one cell.
-const OUTSIDE_SUBSET_LOAD: f64 = 2e6;
+/// Load added to an upstream in another zone when upstreams are compared for a retry.
+const OTHER_ZONE_LOAD_PENALTY: f64 = 1e6;
+/// Load added to an upstream outside the subset when upstreams are compared for a retry. Such an upstream is
+/// used only if no member of the subset is possible, for example if only one cell knows the idempotency key.
+const OUTSIDE_SUBSET_LOAD_PENALTY: f64 = 2e6;
 
-/// The retries and hedged requests that may be sent now.
+/// Budget that limits retries and hedged requests to a share of the admitted requests. Amounts are in
+/// retries.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
     available: f64,
+    /// Maximum of `available`.
     capacity: f64,
 }
 
 impl RetryBudget {
-    /// The initial budget of a balancer that expects so many requests per second.
+    /// Creates the initial budget of a balancer that expects `expected_rate` requests per second.
     pub(crate) fn new(expected_rate: f64) -> Self {
-        let saved = SAVED_SECONDS * RETRIES_PER_REQUEST * expected_rate;
-        Self { available: MIN_SAVED_RETRIES, capacity: saved.clamp(MIN_SAVED_RETRIES, MAX_SAVED_RETRIES) }
+        let capacity = BUDGET_FILL_SECONDS * BUDGET_PER_ADMITTED_REQUEST * expected_rate;
+        Self {
+            available: MIN_BUDGET_CAPACITY,
+            capacity: capacity.clamp(MIN_BUDGET_CAPACITY, MAX_BUDGET_CAPACITY),
+        }
     }
 
-    /// Adds what an admitted request earns.
+    /// Adds the budget for one admitted request.
     pub(crate) fn deposit(&mut self) {
-        self.available = (self.available + RETRIES_PER_REQUEST).min(self.capacity);
+        self.available = (self.available + BUDGET_PER_ADMITTED_REQUEST).min(self.capacity);
     }
 
-    /// Whether the budget covers a cost.
+    /// Returns whether the budget covers a cost.
     pub(crate) fn covers(&self, cost: f64) -> bool {
         self.available >= cost
     }
@@ -65,39 +72,43 @@
 }
 
 impl Balancer {
-    /// Sends a retry of a request, if the class, the time left and the budget allow one. Returns
-    /// whether it was sent.
+    /// Sends a retry or a hedged request if the request, the time left, the budget and the upstreams allow
+    /// it. Returns whether it was sent.
     pub(crate) fn retry(&mut self, id: RequestId, cost: f64) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         if !self.may_retry(request) || !self.retry_budget.covers(cost) || self.upstreams.len() == 0 {
             return false;
         }
         self.upstreams.decay_abandoned_outside_subset(self.now, &self.settings);
-        let start = self.random.any_usize();
-        let Some(position) = self.retry_upstream(request, start) else { return false };
+        let random_start = self.random.any_usize();
+        let Some(position) = self.choose_retry_upstream(request, random_start) else { return false };
         self.retry_budget.withdraw(cost);
         self.send_attempt(id, position);
         true
     }
 
+    /// Returns whether a request may get another attempt and has enough time left for it.
     fn may_retry(&self, request: &Request) -> bool {
         let mean_latency = self.latency.class(request.class).mean();
         !request.finished
             && !request.streaming
             && request.attempts.len() < usize::from(self.settings.max_attempts)
             && self.now + MIN_SECONDS_BEFORE_DEADLINE < request.deadline
-            && self.now + MIN_LATENCY_LEFT * mean_latency < request.useful_until
+            && self.now + MIN_SHARE_OF_MEAN_LATENCY_LEFT * mean_latency < request.useful_until
     }
 
-    /// The least loaded of the first upstreams that may take a retry: the subset from the present turn on,
-    /// then the others from a random start.
-    fn retry_upstream(&self, request: &Request, start: usize) -> Option<UpstreamPosition> {
+    /// Returns the position of the least loaded among the first [`MAX_CANDIDATES`] upstreams that may take a
+    /// retry. The members of the subset come first, from the next turn of the rotation on, then the other
+    /// upstreams from a random one on.
+    fn choose_retry_upstream(&self, request: &Request, random_start: usize) -> Option<UpstreamPosition> {
         let subset = self.upstreams.subset();
-        let turn = self.round_robin.turn();
-        let subset_from_turn = (1..=subset.len()).map(|step| subset[(turn + step) % subset.len()]);
-        let others_from_random_start =
-            self.upstreams.positions_from(start).filter(|position| !self.upstreams.at(*position).in_subset);
-        let load = |position: UpstreamPosition| self.retry_load(self.upstreams.at(position));
+        let last_turn = self.round_robin.last_turn_index();
+        let subset_from_turn = (1..=subset.len()).map(|step| subset[(last_turn + step) % subset.len()]);
+        let others_from_random_start = self
+            .upstreams
+            .positions_from(random_start)
+            .filter(|position| !self.upstreams.at(*position).in_subset);
+        let load = |position: UpstreamPosition| self.load_for_retry(self.upstreams.at(position));
         subset_from_turn
             .chain(others_from_random_start)
             .filter(|position| self.may_take_retry(request, self.upstreams.at(*position)))
@@ -105,19 +116,20 @@
             .min_by(|a, b| load(*a).total_cmp(&load(*b)))
     }
 
-    fn retry_load(&self, upstream: &Upstream) -> f64 {
+    /// Returns the load by which upstreams are compared for a retry.
+    fn load_for_retry(&self, upstream: &Upstream) -> f64 {
         let mut penalty = 0.0;
         if upstream.zone != self.settings.zone {
-            penalty += OTHER_ZONE_LOAD;
+            penalty += OTHER_ZONE_LOAD_PENALTY;
         }
         if !upstream.in_subset {
-            penalty += OUTSIDE_SUBSET_LOAD;
+            penalty += OUTSIDE_SUBSET_LOAD_PENALTY;
         }
         penalty + upstream.estimated_load(self.last_tick_at)
     }
 
-    /// Whether an upstream may take a retry of a request. Not one in slow start: the retries that follow a
-    /// failure arrive together and could overload it.
+    /// Returns whether an upstream may take a retry of a request. An upstream in slow start may not,
+    /// because the retries that follow a failure arrive together and could overload it.
     fn may_take_retry(&self, request: &Request, upstream: &Upstream) -> bool {
         upstream.is_ready()
             && !self.is_warming_up(upstream)
@@ -127,7 +139,8 @@
             && self.is_retry_safe(request, upstream)
     }
 
-    /// Whether an upstream is in slow start. Outside the subset nothing notes its end.
+    /// Returns whether an upstream is in slow start. The state of slow start is updated only
+    /// within the subset; for other upstreams the elapsed time decides.
     fn is_warming_up(&self, upstream: &Upstream) -> bool {
         if upstream.in_subset {
             upstream.slow_start.is_active()
@@ -136,22 +149,24 @@
         }
     }
 
-    /// Whether an attempt at an upstream cannot execute the request a second time.
+    /// Returns whether a retry at an upstream is safe: the request cannot have been executed, is idempotent,
+    /// or is deduplicated by that upstream.
     fn is_retry_safe(&self, request: &Request, upstream: &Upstream) -> bool {
-        let executed = request.attempts.iter().find(|attempt| attempt.in_flight || attempt.possibly_executed);
-        let Some(first) = executed else { return true };
+        let possibly_executed =
+            request.attempts.iter().find(|attempt| attempt.in_flight || attempt.possibly_executed);
+        let Some(first) = possibly_executed else { return true };
         let (scope, ttl) = match self.settings.classes[request.class].retry_safety {
             RetrySafety::Idempotent => return true,
             RetrySafety::AtMostOnce => return false,
             RetrySafety::Deduplicated { scope, ttl } => (scope, ttl),
         };
-        let shares_keys = match scope {
+        let shares_idempotency_keys = match scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => upstream.zone == first.zone,
             DeduplicationScope::Cell => upstream.cell == first.cell,
         };
-        // A connection may have to be established first.
+        // The retry may have to establish a connection first.
         let margin = self.settings.connect_timeout.as_secs_f64() + TRANSIT_SECONDS;
-        shares_keys && self.now + margin < first.sent_at + ttl.as_secs_f64()
+        shares_idempotency_keys && self.now + margin < first.sent_at + ttl.as_secs_f64()
     }
 }
--- a/crates/core/src/round_robin.rs
+++ b/crates/core/src/round_robin.rs
@@ -1,25 +1,27 @@
-//! Weighted round robin with a look-ahead: an upstream that holds clearly more than the next ones in the
-//! rotation is skipped.
+//! Weighted round robin with a look-ahead. An upstream whose load is clearly higher than that of the next
+//! ones in the rotation is skipped.
 
 use crate::time::Timestamp;
 use crate::upstreams::{UpstreamPosition, UpstreamSet};
 use std::collections::VecDeque;
 
-/// Turns that are compared before one is taken.
-const LOOK_AHEAD: usize = 3;
-/// An upstream is skipped if its load exceeds this multiple of the least load in the look-ahead ...
+/// Number of upcoming turns whose upstreams are compared by load.
+const LOOK_AHEAD_TURNS: usize = 3;
+/// Multiple of the lowest load in the look-ahead, plus [`SKIP_LOAD_MARGIN`], above which an upstream is
+/// skipped.
 const SKIP_LOAD_RATIO: f64 = 1.5;
-/// ... by more than this many requests.
+/// Requests per unit of capacity that are added to the limit of [`SKIP_LOAD_RATIO`], so that small
+/// differences at low load skip no upstream.
 const SKIP_LOAD_MARGIN: f64 = 0.5;
-/// The most turns that an upstream accumulates.
+/// Maximum number of turns that an upstream accumulates.
 const MAX_TURN_CREDIT: f64 = 2.0;
-/// Rounds after which the search for an upstream with a whole turn ends.
-const MAX_ROUNDS: usize = 8;
+/// Rounds of the rotation after which the search for an upstream with a whole turn ends.
+const MAX_SEARCH_ROUNDS: usize = 8;
 
-/// Which upstreams take requests of a class.
+/// The upstreams that may get requests of a class.
 struct Eligibility {
     class: usize,
-    /// All upstreams are ejected for the class, so none is excluded.
+    /// Whether all upstreams are ejected for the class. None is excluded then.
     all_are_ejected: bool,
 }
 
@@ -34,28 +36,29 @@
     }
 }
 
-/// The position in the rotation, and the turns that come next.
+/// State of the rotation: its position and the upcoming turns.
 #[derive(Default)]
 pub(crate) struct RoundRobin {
-    /// Index into the subset of the upstream that had the latest turn.
-    turn: usize,
-    /// Positions of the upstreams that have a turn but have not been sent a request for it.
+    /// Index into the subset of the upstream that got the latest turn.
+    last_turn_index: usize,
+    /// Positions of the upstreams that have got a turn but no request for it yet, in the order of their
+    /// turns.
     look_ahead: VecDeque<UpstreamPosition>,
 }
 
 impl RoundRobin {
-    /// Starts from the beginning, because the subset has changed.
+    /// Restarts the rotation after the subset was selected again.
     pub(crate) fn reset(&mut self) {
-        self.turn = 0;
+        self.last_turn_index = 0;
         self.look_ahead.clear();
     }
 
-    /// Index into the subset of the upstream that had the latest turn.
-    pub(crate) fn turn(&self) -> usize {
-        self.turn
+    /// Returns the index into the subset of the upstream that got the latest turn.
+    pub(crate) fn last_turn_index(&self) -> usize {
+        self.last_turn_index
     }
 
-    /// Drops the turns of upstreams that no longer take requests.
+    /// Drops the turns of upstreams that may no longer get requests.
     pub(crate) fn drop_unusable_turns(&mut self, upstreams: &UpstreamSet) {
         self.look_ahead.retain(|position| {
             let upstream = upstreams.at(*position);
@@ -63,18 +66,19 @@
         });
     }
 
-    /// The upstream that takes the next request of a class: the first in turn that does not hold clearly more
-    /// than the least loaded one in the look-ahead, by the loads at `load_time`. Turns skipped because of
-    /// load are lost; upstreams that are ejected for the class keep their turns for other classes.
+    /// Returns the position of the upstream for the next request of a class: the first in the look-ahead
+    /// whose load is not clearly higher than the lowest one there. Loads are estimated for the time
+    /// `loads_at`. An upstream skipped because of its load loses the turn; one that is ejected for the class
+    /// keeps its turn for other classes.
     pub(crate) fn next_upstream(
         &mut self,
         upstreams: &mut UpstreamSet,
         class: usize,
-        load_time: Timestamp,
+        loads_at: Timestamp,
     ) -> Option<UpstreamPosition> {
         let eligibility = Eligibility::new(upstreams, class);
         self.fill_look_ahead(upstreams, &eligibility);
-        let least_load = self.least_load(upstreams, &eligibility, load_time);
+        let lowest_load = self.lowest_load(upstreams, &eligibility, loads_at);
         let mut index = 0;
         while let Some(&position) = self.look_ahead.get(index) {
             if !eligibility.includes(upstreams, position) {
@@ -82,47 +86,49 @@
                 continue;
             }
             self.look_ahead.remove(index);
-            let load = upstreams.at(position).estimated_load(load_time);
-            if load <= least_load * SKIP_LOAD_RATIO + SKIP_LOAD_MARGIN {
+            let load = upstreams.at(position).estimated_load(loads_at);
+            if load <= lowest_load * SKIP_LOAD_RATIO + SKIP_LOAD_MARGIN {
                 return Some(position);
             }
         }
         None
     }
 
-    /// Advances until the look-ahead holds enough upstreams that take requests of the class.
+    /// Advances the rotation until the look-ahead holds enough upstreams that are eligible for the class.
     fn fill_look_ahead(&mut self, upstreams: &mut UpstreamSet, eligibility: &Eligibility) {
-        let max_length = LOOK_AHEAD + upstreams.subset().len();
+        let max_length = LOOK_AHEAD_TURNS + upstreams.subset().len();
         let positions = self.look_ahead.iter();
         let mut eligible_count =
             positions.filter(|position| eligibility.includes(upstreams, **position)).count();
-        while eligible_count < LOOK_AHEAD && self.look_ahead.len() < max_length {
+        while eligible_count < LOOK_AHEAD_TURNS && self.look_ahead.len() < max_length {
             let Some(position) = self.advance(upstreams) else { break };
             self.look_ahead.push_back(position);
             eligible_count += usize::from(eligibility.includes(upstreams, position));
         }
-        // Full, usually of ineligible turns: the oldest is dropped so that the next call can advance.
+        // The look-ahead is full, usually of turns of ineligible upstreams. The oldest turn is dropped so
+        // that the next call can advance.
         if self.look_ahead.len() >= max_length {
             self.look_ahead.pop_front();
         }
     }
 
-    /// The least load of the upstreams in the look-ahead that take requests of the class.
-    fn least_load(&self, upstreams: &UpstreamSet, eligibility: &Eligibility, load_time: Timestamp) -> f64 {
+    /// Returns the lowest load of the first [`LOOK_AHEAD_TURNS`] upstreams in the look-ahead that are
+    /// eligible for the class.
+    fn lowest_load(&self, upstreams: &UpstreamSet, eligibility: &Eligibility, loads_at: Timestamp) -> f64 {
         let positions = self.look_ahead.iter().copied();
         let eligible = positions.filter(|position| eligibility.includes(upstreams, *position));
         let loads =
-            eligible.take(LOOK_AHEAD).map(|position| upstreams.at(position).estimated_load(load_time));
+            eligible.take(LOOK_AHEAD_TURNS).map(|position| upstreams.at(position).estimated_load(loads_at));
         loads.fold(f64::INFINITY, f64::min)
     }
 
-    /// The next upstream in the rotation that has accumulated a whole turn. An upstream in slow start must
-    /// also have budget for a request.
+    /// Advances the rotation to the next upstream that has accumulated a whole turn, takes the turn and
+    /// returns the upstream's position. An upstream in slow start must also have budget for a request.
     fn advance(&mut self, upstreams: &mut UpstreamSet) -> Option<UpstreamPosition> {
-        let length = upstreams.subset().len();
-        for _ in 0..length * MAX_ROUNDS {
-            self.turn = (self.turn + 1) % length;
-            let position = upstreams.subset()[self.turn];
+        let subset_size = upstreams.subset().len();
+        for _ in 0..subset_size * MAX_SEARCH_ROUNDS {
+            self.last_turn_index = (self.last_turn_index + 1) % subset_size;
+            let position = upstreams.subset()[self.last_turn_index];
             let upstream = upstreams.at_mut(position);
             let rotation = &mut upstream.rotation;
             if !rotation.takes_turns() {
