--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -9,7 +9,7 @@
 use crate::admission::Admission;
 use crate::capacity::SpareCapacity;
 use crate::event::{EndpointEntry, Event, UpdateScope};
-use crate::idle_connections::IdleConnections;
+use crate::idle_connections::IdleDropDetector;
 use crate::ids::TimerId;
 use crate::latency::LatencyStatistics;
 use crate::random::Random;
@@ -46,7 +46,7 @@
     pub(crate) admission: Admission,
     pub(crate) capacity: SpareCapacity,
     pub(crate) latency: LatencyStatistics,
-    pub(crate) idle_connections: IdleConnections,
+    pub(crate) idle_connections: IdleDropDetector,
     pub(crate) last_tick_at: Timestamp,
     watch_schedule: WatchSchedule,
     /// Requests per second that the tenants' quotas let this balancer expect.
@@ -176,7 +176,7 @@
             now: self.now,
             elapsed,
             settings: &self.settings,
-            rate: self.capacity.rate(),
+            rate: self.capacity.service_rate(),
             expected_rate: self.expected_rate,
         });
     }
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -1,51 +1,62 @@
-//! Detection of idle connections that a middlebox has dropped without notice.
+//! Detection of idle connections that a middlebox, such as a firewall or NAT gateway, has silently dropped.
 //!
-//! If attempts on connections that had been idle get no response, while attempts on connections in use do,
-//! idle connections are closed before use for a while. If the suspicion is wrong, it costs one handshake per
-//! use.
+//! If attempts on previously idle connections get no response while attempts on connections in use do, idle
+//! connections are closed for some time instead of being used. A false detection costs one handshake per
+//! attempt that would have used an idle connection.
 
 use crate::time::Timestamp;
 
-/// Idle time from which a connection may have been dropped.
+/// Shortest idle time after which a connection may have been dropped.
 const MIN_IDLE_SECONDS: f64 = 0.3;
-/// How long the suspicion holds.
+/// Time for which idle connections are closed before use after the latest sign of a drop.
 const SUSPICION_SECONDS: f64 = 15.0;
-/// Weight of the newest attempt in the unanswered shares.
-const NEWEST_WEIGHT: f64 = 0.2;
-/// Unanswered share of attempts on idle connections above which they are suspected ...
-const SUSPICIOUS_SHARE: f64 = 0.3;
-/// ... if it also exceeds the unanswered share on connections in use by this factor.
-const SUSPICIOUS_RATIO: f64 = 2.0;
+/// Weight of the newest attempt in the moving averages of unanswered attempts.
+const NEWEST_ATTEMPT_WEIGHT: f64 = 0.2;
+/// Share of unanswered attempts on idle connections above which drops are suspected.
+const SUSPICIOUS_UNANSWERED_SHARE: f64 = 0.3;
+/// Ratio of the unanswered share on idle connections to the one on connections in use above which drops are
+/// suspected. Both this limit and [`SUSPICIOUS_UNANSWERED_SHARE`] must be exceeded.
+const SUSPICIOUS_IDLE_TO_IN_USE_RATIO: f64 = 2.0;
 
-/// The shares of unanswered attempts, and what follows from them.
+/// Detector of dropped idle connections. It covers the connections to all upstreams together.
 #[derive(Default)]
-pub(crate) struct IdleConnections {
+pub(crate) struct IdleDropDetector {
+    /// Smoothed share of the attempts without a response on connections that had been in use.
     unanswered_share_in_use: f64,
+    /// Smoothed share of the attempts without a response on connections that had been idle.
     unanswered_share_idle: f64,
+    /// Idle time after which a connection is closed while drops are suspected.
     close_after_seconds: f64,
-    suspected_until: Timestamp,
+    drops_suspected_until: Timestamp,
 }
 
-impl IdleConnections {
-    /// Records whether an attempt got a response; its connection had been idle for `idle_seconds`.
+impl IdleDropDetector {
+    /// Records whether an attempt was answered whose connection had been idle for `idle_seconds`.
     pub(crate) fn record(&mut self, now: Timestamp, idle_seconds: f64, answered: bool) {
         let was_idle = idle_seconds > MIN_IDLE_SECONDS;
         let share =
             if was_idle { &mut self.unanswered_share_idle } else { &mut self.unanswered_share_in_use };
-        *share += NEWEST_WEIGHT * (f64::from(u8::from(!answered)) - *share);
-        if !answered && was_idle && self.unanswered_share_idle > SUSPICIOUS_SHARE && self.idle_is_worse() {
-            let previous = if now < self.suspected_until { self.close_after_seconds } else { f64::INFINITY };
-            self.close_after_seconds = previous.min(idle_seconds / 2.0).max(MIN_IDLE_SECONDS);
-            self.suspected_until = now + SUSPICION_SECONDS;
+        *share += NEWEST_ATTEMPT_WEIGHT * (f64::from(u8::from(!answered)) - *share);
+        if !answered
+            && was_idle
+            && self.unanswered_share_idle > SUSPICIOUS_UNANSWERED_SHARE
+            && self.idle_is_answered_less()
+        {
+            let previous_seconds =
+                if now < self.drops_suspected_until { self.close_after_seconds } else { f64::INFINITY };
+            self.close_after_seconds = previous_seconds.min(idle_seconds / 2.0).max(MIN_IDLE_SECONDS);
+            self.drops_suspected_until = now + SUSPICION_SECONDS;
         }
     }
 
-    /// Whether a connection that has been idle for `idle_seconds` should be closed instead of used.
+    /// Returns whether a connection that has been idle for `idle_seconds` should be closed instead of used.
     pub(crate) fn should_close(&self, now: Timestamp, idle_seconds: f64) -> bool {
-        idle_seconds > self.close_after_seconds && now < self.suspected_until && self.idle_is_worse()
+        idle_seconds > self.close_after_seconds
+            && now < self.drops_suspected_until
+            && self.idle_is_answered_less()
     }
 
-    fn idle_is_worse(&self) -> bool {
-        self.unanswered_share_idle > SUSPICIOUS_RATIO * self.unanswered_share_in_use
+    fn idle_is_answered_less(&self) -> bool {
+        self.unanswered_share_idle > SUSPICIOUS_IDLE_TO_IN_USE_RATIO * self.unanswered_share_in_use
     }
 }
--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -54,7 +54,7 @@
         }
         upstream.record_attempt_sent(self.now);
         let class = &self.settings.classes[request.class];
-        let overdue_after = self.latency.class(request.class).overdue_after(class);
+        let overdue_after = self.latency.class(request.class).overdue_after_seconds(class);
         // Where attempts must not be cancelled, one is waited for only as long as its response is of use.
         let useful_seconds =
             (request.useful_until - self.now).clamp(MIN_TIMEOUT_SECONDS, MAX_TIME_LEFT_SECONDS);
@@ -129,7 +129,7 @@
         let class = &self.settings.classes[ended.class];
         let class_latency = self.latency.class_mut(ended.class);
         // Relative to the mean before this attempt is recorded.
-        let relative_latency = ended.latency / class_latency.mean().max(1e-6);
+        let relative_latency = ended.latency / class_latency.mean_seconds().max(1e-6);
         if ended.is_served() {
             self.capacity.record_completion();
             class_latency.record_served(ended.latency);
@@ -139,7 +139,7 @@
             class: ended.class,
             outcome: ended.outcome,
             was_overdue: ended.was_overdue,
-            class_is_fast: is_fast(class_latency.served_mean(), objective),
+            class_is_fast: is_fast(class_latency.served_mean_seconds(), objective),
         };
         let sample = ended.latency_sample(&result);
         if let Some(sample) = sample {
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -68,7 +68,8 @@
             upstream_is_silent = upstream.outlier.last_response_at() <= attempt.sent_at
                 && upstream.overdue_attempts >= SILENT_OVERDUE_ATTEMPTS;
         }
-        let long_overdue_after = self.latency.class(class).long_overdue_after(&self.settings.classes[class]);
+        let long_overdue_after =
+            self.latency.class(class).long_overdue_after_seconds(&self.settings.classes[class]);
         Some(OverdueAttempt {
             class,
             attempt_count,
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -81,7 +81,7 @@
     }
 
     fn may_retry(&self, request: &Request) -> bool {
-        let mean_latency = self.latency.class(request.class).mean();
+        let mean_latency = self.latency.class(request.class).mean_seconds();
         !request.finished
             && !request.streaming
             && request.attempts.len() < usize::from(self.settings.max_attempts)
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -139,7 +139,7 @@
         let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
         let duration = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
         self.ejections += 1;
-        self.ejected_until = now + duration * random.jitter();
+        self.ejected_until = now + duration * random.jitter_factor();
     }
 }
 
@@ -157,7 +157,7 @@
     fn record_ejection(&mut self, now: Timestamp, random: &mut Random) {
         if self.next_probe_at <= now {
             self.unsuccessful_probes = 0;
-            self.next_probe_at = now + BASE_EJECTION_SECONDS * random.jitter();
+            self.next_probe_at = now + BASE_EJECTION_SECONDS * random.jitter_factor();
         }
     }
 
@@ -166,7 +166,7 @@
         self.unsuccessful_probes += 1;
         let doublings = self.unsuccessful_probes.min(MAX_PROBE_DOUBLINGS);
         let wait = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
-        self.next_probe_at = now + wait * random.jitter();
+        self.next_probe_at = now + wait * random.jitter_factor();
     }
 
     /// An upstream serves again: the fault may have been a common one, so the others are probed at once.
--- a/crates/core/src/watch_schedule.rs
+++ b/crates/core/src/watch_schedule.rs
@@ -1,72 +1,76 @@
-//! When a balancer begins a watch of the endpoint list, where the settings leave that to it.
+//! Schedule by which a balancer starts watches of the endpoint list, used if
+//! [`Settings::poll_endpoints`](crate::Settings::poll_endpoints) is set.
 //!
-//! A watch is begun at start and again once it has failed. The wait doubles after each failed call and is
-//! jittered, so that many balancers do not call at once when discovery has recovered. It stays short enough
-//! that a call which fails late, the wait after it and the next call together end before a change counts as
-//! delivered.
+//! The balancer starts a watch when it starts and again after each failure. The wait doubles after each
+//! failed call and is jittered, so that many balancers do not call at the same moment when discovery
+//! recovers. The wait is limited: a call that fails late, the wait after it and the next call together end
+//! before a change counts as delivered to the balancer, see
+//! [`Settings::poll_interval`](crate::Settings::poll_interval).
 
 use crate::random::Random;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The longest wait for the first call.
+/// Longest wait before the first call.
 const MAX_FIRST_WAIT_SECONDS: f64 = 1.0;
-/// Share of the poll interval within which the first call is made.
-const FIRST_WAIT_SHARE: f64 = 0.1;
-/// The longest wait after a failed call.
+/// Longest wait before the first call, as a share of the poll interval.
+const MAX_FIRST_WAIT_SHARE: f64 = 0.1;
+/// Longest wait after a failed call.
 const MAX_RETRY_WAIT_SECONDS: f64 = 3.0;
-/// The longest wait after a failed call, as a share of the poll interval.
+/// Longest wait after a failed call, as a share of the poll interval.
 const MAX_RETRY_WAIT_SHARE: f64 = 0.8;
-/// How often the wait after a failed call doubles.
+/// Maximum number of times that the wait after failed calls doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// Share of the poll interval after which a call without any response is repeated.
-const UNANSWERED_SHARE: f64 = 0.4;
-/// Jitter that is added to [`UNANSWERED_SHARE`].
-const UNANSWERED_JITTER: f64 = 0.2;
+/// Shortest wait before a call without a response is repeated, as a share of the poll interval.
+const RESPONSE_TIMEOUT_SHARE: f64 = 0.4;
+/// Largest jitter that is added to [`RESPONSE_TIMEOUT_SHARE`].
+const RESPONSE_TIMEOUT_JITTER: f64 = 0.2;
 
-/// The schedule of one balancer's calls to discovery.
+/// Schedule of one balancer's calls to discovery.
 #[derive(Default)]
 pub(crate) struct WatchSchedule {
-    watching: bool,
+    watch_is_established: bool,
     next_call_at: Timestamp,
     consecutive_failures: u32,
 }
 
 impl WatchSchedule {
-    /// The balancer starts: the first call is due after a short random wait.
+    /// Schedules the first call after a short random wait.
     pub(crate) fn start(&mut self, now: Timestamp, poll_interval: Duration, random: &mut Random) {
-        let longest = (poll_interval.as_secs_f64() * FIRST_WAIT_SHARE).min(MAX_FIRST_WAIT_SECONDS);
-        self.next_call_at = now + longest * random.fraction();
+        let max_wait_seconds =
+            (poll_interval.as_secs_f64() * MAX_FIRST_WAIT_SHARE).min(MAX_FIRST_WAIT_SECONDS);
+        self.next_call_at = now + max_wait_seconds * random.fraction();
     }
 
-    /// A call failed or the watch broke.
+    /// Records that a call failed or that the watch broke, and schedules the next call.
     pub(crate) fn record_failure(&mut self, now: Timestamp, poll_interval: Duration, random: &mut Random) {
-        let longest = (poll_interval.as_secs_f64() * MAX_RETRY_WAIT_SHARE).min(MAX_RETRY_WAIT_SECONDS);
-        let shortest = longest / f64::from(1u32 << MAX_DOUBLINGS);
-        let wait = shortest * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS));
+        let max_wait_seconds =
+            (poll_interval.as_secs_f64() * MAX_RETRY_WAIT_SHARE).min(MAX_RETRY_WAIT_SECONDS);
+        let min_wait_seconds = max_wait_seconds / f64::from(1u32 << MAX_DOUBLINGS);
+        let wait_seconds = min_wait_seconds * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS));
         self.consecutive_failures += 1;
-        self.watching = false;
-        self.next_call_at = now + wait * (0.5 + 0.5 * random.fraction());
+        self.watch_is_established = false;
+        self.next_call_at = now + wait_seconds * (0.5 + 0.5 * random.fraction());
     }
 
-    /// Discovery has responded: the watch is established.
+    /// Records that discovery responded, so that the watch is established.
     pub(crate) fn record_response(&mut self) {
-        self.watching = true;
+        self.watch_is_established = true;
         self.consecutive_failures = 0;
     }
 
-    /// Whether a call is due. If so, the next one is scheduled in case that this one gets no response.
+    /// Returns whether a call is due. If it is, schedules the next call in case this one gets no response.
     pub(crate) fn take_due_call(
         &mut self,
         now: Timestamp,
         poll_interval: Duration,
         random: &mut Random,
     ) -> bool {
-        if self.watching || now < self.next_call_at {
+        if self.watch_is_established || now < self.next_call_at {
             return false;
         }
-        let wait_share = UNANSWERED_SHARE + UNANSWERED_JITTER * random.fraction();
-        self.next_call_at = now + poll_interval.as_secs_f64() * wait_share;
+        let timeout_share = RESPONSE_TIMEOUT_SHARE + RESPONSE_TIMEOUT_JITTER * random.fraction();
+        self.next_call_at = now + poll_interval.as_secs_f64() * timeout_share;
         true
     }
 }
