--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -15,8 +15,8 @@
 /// Lower bound of the total demand from which the averaging window is computed, in requests per second. It
 /// limits the length of the window when there is little traffic.
 const MIN_TOTAL_DEMAND_PER_SECOND: f64 = 0.1;
-/// Upper bound of the time at the guaranteed rate for which a bucket can save tokens. Saved tokens are
-/// admitted even right after a loss of capacity, so a larger bucket would cause more overload.
+/// Largest burst that a bucket allows, in seconds of the guaranteed rate. Saved tokens admit requests even
+/// right after a loss of capacity, so a larger bucket would cause more overload.
 const MAX_GUARANTEE_BURST_SECONDS: f64 = 1.0;
 /// Factor by which raised guarantees exceed the median tenant's demand.
 const GUARANTEE_HEADROOM: f64 = 1.3;
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct Admission {
     buckets: Vec<TokenBucket>,
-    /// Seconds at the guaranteed rate for which a bucket can save tokens.
+    /// Burst that a bucket allows, in seconds of the guaranteed rate.
     guarantee_burst_seconds: f64,
     /// Smoothed share of the requests in flight that exceeds the upstreams' capacity.
     smoothed_overload: f64,
@@ -105,8 +105,8 @@
     }
 }
 
-/// Returns the seconds at the guaranteed rate for which a bucket can save tokens: the longest latency
-/// objective, but at most [`MAX_GUARANTEE_BURST_SECONDS`].
+/// Returns the burst that a bucket allows, in seconds of the guaranteed rate: the longest latency objective,
+/// but at most [`MAX_GUARANTEE_BURST_SECONDS`].
 fn guarantee_burst_seconds(settings: &Settings) -> f64 {
     let objectives = settings.classes.iter().map(|class| class.latency_objective.as_secs_f64());
     objectives.fold(0.0, f64::max).min(MAX_GUARANTEE_BURST_SECONDS)
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -31,7 +31,7 @@
 }
 
 impl IdleDropDetector {
-    /// Records whether an attempt was answered whose connection had been idle for `idle_seconds`.
+    /// Records whether an attempt got a response. Its connection had been idle for `idle_seconds` before.
     pub(crate) fn record(&mut self, now: Timestamp, idle_seconds: f64, answered: bool) {
         let was_idle = idle_seconds > MIN_IDLE_SECONDS;
         let share =
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,37 +1,37 @@
-//! Time as the decisions compute with it: seconds in floating point on the embedder's clock.
+//! Points in time on the embedder's clock, as floating-point seconds.
 
 use std::cmp::Ordering;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Time between two ticks: short against usual latency objectives, long against the cost of one pass over the
-/// upstreams.
+/// Time between two ticks. It is short compared with usual latency objectives, and long compared with the
+/// time that one pass over the upstreams takes.
 pub(crate) const TICK_SECONDS: f64 = 0.025;
 
-/// A point on the embedder's clock.
+/// Point in time on the embedder's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(crate) struct Timestamp(f64);
 
 impl Timestamp {
-    /// The start of the clock. The default of times that have never been set; where "never" must count as
-    /// infinitely long ago, they are [`Timestamp::DISTANT_PAST`].
+    /// Start of the embedder's clock, and the default of a time that has not been set. A time that must count
+    /// as infinitely long ago until it is set starts as [`Timestamp::DISTANT_PAST`] instead.
     pub(crate) const ZERO: Self = Self(0.0);
-    /// Before every other point.
+    /// Point in time before all others.
     pub(crate) const DISTANT_PAST: Self = Self(f64::NEG_INFINITY);
-    /// After every other point.
+    /// Point in time after all others.
     pub(crate) const DISTANT_FUTURE: Self = Self(f64::INFINITY);
 
-    /// The point that the embedder's clock shows after this duration.
+    /// Returns the point in time at which the embedder's clock shows this duration since its start.
     pub(crate) fn from_duration(duration: Duration) -> Self {
         Self(duration.as_secs_f64())
     }
 
-    /// The earlier of two points.
+    /// Returns the earlier of two points in time.
     pub(crate) fn min(self, other: Self) -> Self {
         Self(self.0.min(other.0))
     }
 
-    /// A total order, for sorting.
+    /// Compares two points in time by a total order, which sorting requires.
     pub(crate) fn total_cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
@@ -40,7 +40,7 @@
 impl Add<f64> for Timestamp {
     type Output = Self;
 
-    /// The point so many seconds later.
+    /// Returns the point in time that is `seconds` later.
     fn add(self, seconds: f64) -> Self {
         Self(self.0 + seconds)
     }
@@ -49,7 +49,7 @@
 impl Sub for Timestamp {
     type Output = f64;
 
-    /// The seconds from `earlier` to this point.
+    /// Returns the seconds from `earlier` to this point in time; negative if `earlier` is later.
     fn sub(self, earlier: Self) -> f64 {
         self.0 - earlier.0
     }
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -3,7 +3,7 @@
 //! In the notation of the paper that the design follows (Dynamic Admission Control for Improving Utilization
 //! of Parlay X Gateway): `tokens` is mu_i, `arrivals` V_i, `guaranteed_rate` u_g_i and `size` T_i.
 
-/// Time at the tenant's own demand for which its bucket can save tokens.
+/// Burst that a bucket allows, in seconds of its tenant's demand.
 const DEMAND_BURST_SECONDS: f64 = 0.2;
 /// Tokens that every bucket can hold, whatever its tenant's rate, so that a tenant with little traffic may
 /// send a few requests at once.
@@ -28,7 +28,7 @@
     pub(crate) total_demand: f64,
     /// Share of the total demand that exceeds the tenants' guaranteed rates.
     pub(crate) excess_demand_share: f64,
-    /// Time at the guaranteed rate for which a bucket can save tokens.
+    /// Burst that a bucket allows, in seconds of the guaranteed rate.
     pub(crate) guarantee_burst_seconds: f64,
     /// Spare capacity W of the upstreams, in requests; negative if they are overloaded.
     pub(crate) spare_capacity: f64,
@@ -114,12 +114,13 @@
     fn size(&self, inputs: &RefillInputs) -> f64 {
         let caused_by_others =
             if self.demand > self.guaranteed_rate { 0.0 } else { inputs.excess_demand_share };
-        let tolerated = TOLERATED_OVERLOAD + caused_by_others;
-        let kept_share =
-            (1.0 - WITHHELD_SHARE_WITHIN_GUARANTEE * (inputs.smoothed_overload - tolerated)).clamp(0.0, 1.0);
-        let saved =
+        let tolerated_overload = TOLERATED_OVERLOAD + caused_by_others;
+        let kept_share = (1.0
+            - WITHHELD_SHARE_WITHIN_GUARANTEE * (inputs.smoothed_overload - tolerated_overload))
+            .clamp(0.0, 1.0);
+        let burst_tokens =
             (DEMAND_BURST_SECONDS * self.demand).max(self.guaranteed_rate * inputs.guarantee_burst_seconds);
-        kept_share * (BASE_SIZE_TOKENS + saved)
+        kept_share * (BASE_SIZE_TOKENS + burst_tokens)
     }
 
     /// Returns the share of the guaranteed rate that is withheld, before it is limited to 0..1. Tenants over
