--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a load balancer for HTTP upstreams: which request is admitted, which upstream it is sent
-//! to, and what happens when an attempt fails.
+//! Decision logic of a load balancer for HTTP upstreams: which requests are admitted, which upstream each
+//! attempt is sent to, and what happens when an attempt fails.
 //!
-//! The crate does no I/O and reads no clock. The embedder delivers [`Event`]s with the time to a [`Balancer`]
-//! and carries out the [`Action`]s that it returns. The same settings, seed and events always give the same
-//! actions.
+//! The crate does no I/O and reads no clock. The program that embeds it, the embedder, delivers [`Event`]s
+//! and the current time to a [`Balancer`] and carries out the [`Action`]s that the balancer returns. The same
+//! settings, seed and events always result in the same actions.
 //!
 //! ```
 //! use balancer_core::*;
@@ -22,7 +22,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The first event holds the upstreams known from before.
+//! // The first event contains the upstreams that were known before the start.
 //! let entries = [EndpointEntry {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
@@ -35,7 +35,7 @@
 //! let known = Event::EndpointUpdate { scope: UpdateScope::Cached, entries: &entries };
 //! balancer.handle(ms(0), known, &mut actions);
 //!
-//! // A request arrives: it is forwarded, or rejected at once.
+//! // A request arrives. The balancer forwards it, or rejects it at once.
 //! actions.clear();
 //! let request = Event::RequestArrived {
 //!     id: RequestId(1),
@@ -48,7 +48,7 @@
 //! balancer.handle(ms(5), request, &mut actions);
 //! assert!(matches!(actions[..], [Action::SendAttempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
 //!
-//! // The upstream has responded: the embedder forwards the response and reports the end of the attempt.
+//! // The upstream has responded. The embedder forwards the response and reports the end of the attempt.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     id: RequestId(1),
@@ -64,10 +64,11 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! An embedder must deliver the timers that [`Action::SetTimer`] asks for (the balancer's tick is one of
-//! them), and end an attempt as [`Outcome::TimedOut`] at its timeout or, at the latest, at the client's
-//! deadline. On these terms, each request ends exactly once: with the response of an attempt that the
-//! embedder forwards, with [`Action::Reject`] or [`Action::Fail`], or with the disconnection of its client.
+//! The embedder must deliver [`Event::TimerFired`] for each timer that [`Action::SetTimer`] sets, which
+//! includes the balancer's tick. It must end each attempt as [`Outcome::TimedOut`] at the attempt's timeout
+//! or, at the latest, at the client's deadline. Under these conditions, each request ends exactly once: with
+//! the response of an attempt that the embedder forwards, with [`Action::Reject`] or [`Action::Fail`], or
+//! with the disconnection of its client.
 
 mod action;
 mod admission;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a balancer and their validation.
+//! Settings of a balancer and their validation.
 
 use crate::ids::ZoneId;
 use std::fmt;
@@ -10,54 +10,55 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Executing the request again is harmless.
+    /// The request may be executed any number of times without harm.
     Idempotent,
-    /// The request bears an idempotency key: upstreams of one scope drop a copy that reaches them within
+    /// The request carries an idempotency key. Upstreams of one scope drop a copy that reaches them within
     /// `ttl` of the first attempt that may have been executed.
     Deduplicated {
-        /// The upstreams that share the record of a key.
+        /// Group of upstreams that share the record of a key.
         scope: DeduplicationScope,
-        /// How long they remember a key.
+        /// Time for which the upstreams remember a key.
         ttl: Duration,
     },
     /// The request must never be executed twice.
     AtMostOnce,
 }
 
-/// The upstreams that share their record of idempotency keys.
+/// Group of upstreams that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All upstreams.
+    /// All upstreams share one record.
     All,
-    /// The upstreams of one zone.
+    /// The upstreams of one zone share a record.
     Zone,
-    /// The upstreams of one cell.
+    /// The upstreams of one cell share a record.
     Cell,
 }
 
-/// A class of requests.
+/// Settings of one class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time earns the full priority weight.
+    /// Time within which a response earns the full priority weight; above zero.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of the request's own work. The present decisions only ask
-    /// whether it is positive: a response is then of use until the deadline.
+    /// Multiple of the request's own work by which the latency objective grows. Currently, the balancer only
+    /// checks whether it is positive: a response then counts as useful until the deadline.
     pub latency_objective_stretch: f64,
-    /// The longest that a client waits. Not used by the present decisions.
+    /// Longest time that a client waits for a response. Currently used by embedders only.
     pub deadline: Duration,
-    /// The value of one response in time. Not used by the present decisions.
+    /// Value of a response within the latency objective. Currently not used by the balancer.
     pub priority_weight: f64,
-    /// The share of the priority weight that a response after the latency objective still earns. The present
-    /// decisions only ask whether it is positive.
+    /// Share of the priority weight that a response after the latency objective still earns. Currently, the
+    /// balancer only checks whether it is positive.
     pub late_priority_weight: f64,
-    /// Whether a request may be executed more than once.
+    /// Whether a request of this class may be executed more than once.
     pub retry_safety: RetrySafety,
-    /// The response is a stream: [`Event::StreamStarted`](crate::Event::StreamStarted) is delivered.
+    /// Whether responses are streams. If so, the embedder delivers
+    /// [`Event::StreamStarted`](crate::Event::StreamStarted) when one starts.
     pub streamed: bool,
 }
 
 impl Default for RequestClass {
-    /// A class that may not be executed twice, with a latency objective of one second.
+    /// Returns a class whose requests must not be executed twice, with a latency objective of one second.
     fn default() -> Self {
         Self {
             latency_objective: Duration::from_secs(1),
@@ -71,43 +72,44 @@
     }
 }
 
-/// A customer whose requests share the upstreams with those of others.
+/// Settings of one tenant, a customer that shares the upstreams with other tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Guaranteed requests per second over all balancers; 0 if none is stated.
+    /// Guaranteed requests per second over all balancers; 0 if no quota is set.
     pub quota_per_second: f64,
 }
 
-/// What the weight of an endpoint entry means.
+/// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightKind {
-    /// It has no meaning.
+    /// The weight has no meaning.
     Ignored,
-    /// The size of the upstream, at least approximately.
+    /// The weight is the size of the upstream, at least approximately.
     Size,
-    /// The size of the upstream divided by 1 + the requests that each core held a while ago.
+    /// The weight is the size of the upstream divided by one plus the number of requests that each of its
+    /// cores held some time ago.
     Live,
 }
 
-/// How upstreams report their load.
+/// Way in which upstreams report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// They do not.
+    /// Upstreams do not report their load.
     Off,
-    /// With every response and health check.
+    /// Upstreams report their load with every response and health check.
     Inline,
-    /// With health checks only.
+    /// Upstreams report their load with health checks only.
     OnHealthCheck,
 }
 
-/// The meaning of one value in a load report.
+/// Meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
     /// Requests in flight at the upstream.
     InFlight,
     /// Requests in the upstream's queue.
     Queue,
-    /// Share of the CPU in use.
+    /// Share of the CPU in use, from 0 to 1.
     Utilization,
     /// Recent service time in milliseconds.
     ServiceTimeMs,
@@ -115,92 +117,97 @@
     RequestRate,
     /// Errors per second.
     ErrorRate,
-    /// A value that this version does not know.
+    /// Value of an unknown kind, which is ignored.
     Other,
 }
 
-/// What actions cost, in units of the priority weight of an average request. The present decisions use
-/// `cross_zone` only.
+/// Prices of the balancer's actions and their consequences, in units of the priority weight of an average
+/// request. Currently, the balancer uses only `cross_zone`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt in another zone.
+    /// Price of an attempt in a zone other than the balancer's.
     pub cross_zone: f64,
-    /// A hundred connections to an upstream that are held open all the time.
+    /// Price of a hundred connections to an upstream that are held open all the time.
     pub connection: f64,
-    /// A new connection.
+    /// Price of a new connection.
     pub handshake: f64,
-    /// A request that fails only after its latency objective.
+    /// Price of a request that fails only after its latency objective.
     pub late_failure: f64,
-    /// A health check.
+    /// Price of a health check.
     pub health_check: f64,
-    /// Work of an upstream that served nobody, in the amount that an average request takes.
+    /// Price of as much wasted work at an upstream as an average request takes.
     pub wasted_work: f64,
 }
 
-/// The settings of one balancer. They do not change while it runs.
+/// Settings of one balancer. They do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many balancers share the upstreams, this one included.
+    /// Number of balancers that share the upstreams, including this one.
     pub balancers: u32,
-    /// The position of this balancer among them, from 0.
+    /// Index of this balancer among all balancers, from 0.
     pub index: u32,
-    /// The zone of this balancer.
+    /// Zone of this balancer.
     pub zone: ZoneId,
-    /// The classes of requests; at least one.
+    /// Request classes; at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its class's priority weight that a request over its tenant's quota earns.
+    /// Share of its class's priority weight that a request over its tenant's quota earns.
     pub over_quota_weight: f64,
-    /// The priority weight of a request is proportional to its work. Not used by the present decisions.
+    /// Whether the priority weight of a request is proportional to its work. Currently not used by the
+    /// balancer.
     pub weight_by_work: bool,
-    /// The balancer begins each watch of the endpoint list itself, by
-    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints), and begins another when one has failed.
+    /// Whether the balancer starts each watch of the endpoint list itself with
+    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints), and starts another one after a failure.
     pub starts_watches: bool,
-    /// A balancer that has not polled for this long counts as notified of all changes until then.
+    /// Time since its last poll of discovery after which a balancer counts as notified of all changes up to
+    /// then.
     pub poll_interval: Duration,
-    /// The share of its full capacity that an upstream has at least when slow start begins.
+    /// Smallest share of its full capacity that an upstream has when slow start begins.
     pub slow_start_floor: f64,
-    /// How long slow start takes.
+    /// Duration of slow start.
     pub slow_start_duration: Duration,
-    /// An upstream in slow start collapses when it gets more than this multiple of its present capacity ...
+    /// Multiple of its current capacity beyond which load makes an upstream in slow start collapse.
     pub overload_factor: f64,
-    /// ... over this time.
+    /// Time for which load must exceed `overload_factor` until an upstream in slow start collapses. Currently
+    /// not used by the balancer.
     pub overload_duration: Duration,
-    /// The most attempts that one request may have.
+    /// Maximum number of attempts of one request, including the first; above zero.
     pub max_attempts: u8,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Health checks may be sent. Not used by the present decisions.
+    /// Whether health checks may be sent. Currently not used by the balancer.
     pub health_checks: bool,
-    /// The longest Retry-After that clients respect.
+    /// Longest Retry-After that clients respect.
     pub max_retry_after: Duration,
-    /// An attempt to connect that takes longer counts as failed.
+    /// Time after which an attempt to connect to an upstream counts as failed.
     pub connect_timeout: Duration,
-    /// Upstreams close a connection that has been idle for this long. Not used by the present decisions.
+    /// Idle time after which upstreams close a connection. Currently used by embedders only.
     pub connection_idle_timeout: Duration,
-    /// Attempts that one connection carries at once. Not used by the present decisions.
+    /// Maximum number of concurrent attempts on one connection; above zero. Currently not used by the
+    /// balancer.
     pub max_streams: u32,
-    /// The share of requests of a class that may miss the latency objective, where the goal values the
-    /// slowest responses. Not used by the present decisions.
+    /// Share of the requests of a class that may miss the latency objective; `None` if the goal does not
+    /// value the slowest responses. Currently not used by the balancer.
     pub tolerated_miss_ratio: Option<f64>,
-    /// CPU time that a request and its attempts may cost; zero for no limit. Not used by the present
-    /// decisions.
+    /// CPU time that a request and its attempts may cost; zero for no limit. Currently not used by the
+    /// balancer.
     pub cpu_per_request: Duration,
-    /// What the weights in the endpoint list mean.
+    /// Meaning of the weights in the endpoint list.
     pub weight_kind: WeightKind,
-    /// How upstreams report their load. Not used by the present decisions.
+    /// Way in which upstreams report their load. Currently used by embedders only.
     pub load_reporting: LoadReporting,
-    /// The values of a load report, in order.
+    /// Meanings of the values in a load report, in the order of the values.
     pub load_report_fields: Vec<LoadField>,
-    /// What actions cost.
+    /// Prices of the balancer's actions and their consequences.
     pub prices: Prices,
 }
 
 impl Default for Settings {
-    /// One balancer that is notified of its endpoint list, without classes.
+    /// Returns the settings of a single balancer that does not start watches itself. They contain no request
+    /// class, so [`Settings::validate`] rejects them.
     fn default() -> Self {
         Self {
             balancers: 1,
@@ -234,44 +241,44 @@
     }
 }
 
-/// A value in [`Settings`] that can be out of range.
+/// Identifies a value in [`Settings`] that can be out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsField {
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     MaxAttempts,
-    /// The position of this balancer.
+    /// Index of this balancer among all balancers.
     Index,
-    /// The most attempts on one connection.
+    /// Maximum number of concurrent attempts on one connection.
     MaxStreams,
-    /// The weight of requests over quota.
+    /// Share of the priority weight that a request over quota earns.
     OverQuotaWeight,
-    /// The least capacity in slow start.
+    /// Smallest share of its capacity that an upstream has in slow start.
     SlowStartFloor,
-    /// The multiple of its capacity that overloads an upstream in slow start.
+    /// Multiple of its capacity that overloads an upstream in slow start.
     OverloadFactor,
-    /// The tolerated share of late responses.
+    /// Share of the requests that may miss the latency objective.
     ToleratedMissRatio,
-    /// The price of an attempt in another zone.
+    /// Price of an attempt in another zone.
     CrossZonePrice,
-    /// The price of open connections.
+    /// Price of open connections.
     ConnectionPrice,
-    /// The price of a new connection.
+    /// Price of a new connection.
     HandshakePrice,
-    /// The price of a late failure.
+    /// Price of a request that fails late.
     LateFailurePrice,
-    /// The price of a health check.
+    /// Price of a health check.
     HealthCheckPrice,
-    /// The price of work that served nobody.
+    /// Price of wasted work at an upstream.
     WastedWorkPrice,
-    /// The latency objective of a class.
+    /// Latency objective of a request class.
     LatencyObjective,
-    /// The priority weight of a class.
+    /// Priority weight of a request class.
     PriorityWeight,
-    /// The weight of a late response of a class.
+    /// Share of the priority weight that a late response of a request class earns.
     LatePriorityWeight,
-    /// The stretch of the latency objective of a class.
+    /// Multiple of the request's work by which the latency objective of a class grows.
     LatencyObjectiveStretch,
-    /// The quota of a tenant.
+    /// Quota of a tenant, in requests per second.
     QuotaPerSecond,
 }
 
@@ -300,14 +307,14 @@
     }
 }
 
-/// What a value in [`Settings`] may be.
+/// Range that is allowed for a value in [`Settings`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllowedRange {
-    /// A finite number, not negative.
+    /// Finite number that is not negative.
     FiniteNotNegative,
-    /// More than zero.
+    /// Number above zero.
     Positive,
-    /// Less than the number of balancers.
+    /// Number below [`Settings::balancers`].
     BelowBalancerCount,
 }
 
@@ -321,33 +328,33 @@
     }
 }
 
-/// A value in [`Settings`] that is out of range.
+/// Value in [`Settings`] that is out of range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutOfRange {
-    /// Where it stands.
+    /// Identifies the value in the settings.
     pub field: SettingsField,
-    /// The value; durations are in milliseconds.
+    /// Rejected value; durations are in milliseconds.
     pub value: f64,
-    /// What is allowed.
+    /// Range that is allowed for the value.
     pub allowed: AllowedRange,
 }
 
-/// Why a balancer cannot run with some [`Settings`].
+/// Reason why a balancer cannot run with its [`Settings`].
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// There are no request classes.
+    /// The settings define no request class.
     #[error("settings: no request class is defined")]
     NoClasses,
     /// The number of balancers is zero.
     #[error("settings: the number of balancers is zero")]
     NoBalancers,
-    /// A value is negative, not a number, or zero where it must not be.
+    /// A value is out of the range that is allowed for it.
     #[error("settings: {} is {}, allowed is {}", .0.field, .0.value, .0.allowed)]
     OutOfRange(OutOfRange),
 }
 
 impl Settings {
-    /// Checks that a balancer can run with these settings. The error names the first value at fault.
+    /// Checks that a balancer can run with these settings. The error names the first invalid value.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -361,16 +368,19 @@
             return Err(out_of_range(SettingsField::Index, value, AllowedRange::BelowBalancerCount));
         }
         require_positive(SettingsField::MaxStreams, f64::from(self.max_streams))?;
-        require_finite(SettingsField::OverQuotaWeight, self.over_quota_weight)?;
-        require_finite(SettingsField::SlowStartFloor, self.slow_start_floor)?;
-        require_finite(SettingsField::OverloadFactor, self.overload_factor)?;
-        require_finite(SettingsField::ToleratedMissRatio, self.tolerated_miss_ratio.unwrap_or(0.0))?;
+        require_finite_not_negative(SettingsField::OverQuotaWeight, self.over_quota_weight)?;
+        require_finite_not_negative(SettingsField::SlowStartFloor, self.slow_start_floor)?;
+        require_finite_not_negative(SettingsField::OverloadFactor, self.overload_factor)?;
+        require_finite_not_negative(
+            SettingsField::ToleratedMissRatio,
+            self.tolerated_miss_ratio.unwrap_or(0.0),
+        )?;
         self.prices.validate()?;
         for class in &self.classes {
             class.validate()?;
         }
         for tenant in &self.tenants {
-            require_finite(SettingsField::QuotaPerSecond, tenant.quota_per_second)?;
+            require_finite_not_negative(SettingsField::QuotaPerSecond, tenant.quota_per_second)?;
         }
         Ok(())
     }
@@ -378,12 +388,12 @@
 
 impl Prices {
     fn validate(&self) -> Result<(), SettingsError> {
-        require_finite(SettingsField::CrossZonePrice, self.cross_zone)?;
-        require_finite(SettingsField::ConnectionPrice, self.connection)?;
-        require_finite(SettingsField::HandshakePrice, self.handshake)?;
-        require_finite(SettingsField::LateFailurePrice, self.late_failure)?;
-        require_finite(SettingsField::HealthCheckPrice, self.health_check)?;
-        require_finite(SettingsField::WastedWorkPrice, self.wasted_work)
+        require_finite_not_negative(SettingsField::CrossZonePrice, self.cross_zone)?;
+        require_finite_not_negative(SettingsField::ConnectionPrice, self.connection)?;
+        require_finite_not_negative(SettingsField::HandshakePrice, self.handshake)?;
+        require_finite_not_negative(SettingsField::LateFailurePrice, self.late_failure)?;
+        require_finite_not_negative(SettingsField::HealthCheckPrice, self.health_check)?;
+        require_finite_not_negative(SettingsField::WastedWorkPrice, self.wasted_work)
     }
 }
 
@@ -391,19 +401,19 @@
     fn validate(&self) -> Result<(), SettingsError> {
         let objective_ms = self.latency_objective.as_secs_f64() * MS_PER_SECOND;
         require_positive(SettingsField::LatencyObjective, objective_ms)?;
-        require_finite(SettingsField::PriorityWeight, self.priority_weight)?;
-        require_finite(SettingsField::LatePriorityWeight, self.late_priority_weight)?;
-        require_finite(SettingsField::LatencyObjectiveStretch, self.latency_objective_stretch)
+        require_finite_not_negative(SettingsField::PriorityWeight, self.priority_weight)?;
+        require_finite_not_negative(SettingsField::LatePriorityWeight, self.late_priority_weight)?;
+        require_finite_not_negative(SettingsField::LatencyObjectiveStretch, self.latency_objective_stretch)
     }
 }
 
-/// Accepts a finite value that is not negative.
-fn require_finite(field: SettingsField, value: f64) -> Result<(), SettingsError> {
+/// Returns an error unless the value is finite and not negative.
+fn require_finite_not_negative(field: SettingsField, value: f64) -> Result<(), SettingsError> {
     let is_allowed = value >= 0.0 && value.is_finite();
     if is_allowed { Ok(()) } else { Err(out_of_range(field, value, AllowedRange::FiniteNotNegative)) }
 }
 
-/// Accepts a value above zero.
+/// Returns an error unless the value is above zero.
 fn require_positive(field: SettingsField, value: f64) -> Result<(), SettingsError> {
     if value > 0.0 { Ok(()) } else { Err(out_of_range(field, value, AllowedRange::Positive)) }
 }
--- a/crates/core/src/watch_schedule.rs
+++ b/crates/core/src/watch_schedule.rs
@@ -1,5 +1,5 @@
 //! Schedule by which a balancer starts watches of the endpoint list, used if
-//! [`Settings::poll_endpoints`](crate::Settings::poll_endpoints) is set.
+//! [`Settings::starts_watches`](crate::Settings::starts_watches) is set.
 //!
 //! The balancer starts a watch when it starts and again after each failure. The wait doubles after each
 //! failed call and is jittered, so that many balancers do not call at the same moment when discovery
