--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -56,7 +56,7 @@
         }
         upstream.record_attempt_sent(self.now);
         let class = &self.settings.classes[request.class];
-        let overdue_after_seconds = self.latency.class(request.class).overdue_after(class);
+        let overdue_after_seconds = self.latency.class(request.class).overdue_after_seconds(class);
         // An attempt that cannot be cancelled later gets a timeout, which ends the wait once its response is
         // useless.
         let useful_seconds =
@@ -134,7 +134,7 @@
         let class = &self.settings.classes[ended.class];
         let class_latency = self.latency.class_mut(ended.class);
         // The mean here does not include this attempt yet.
-        let relative_latency = ended.latency_seconds / class_latency.mean().max(1e-6);
+        let relative_latency = ended.latency_seconds / class_latency.mean_seconds().max(1e-6);
         if ended.is_served() {
             self.capacity.record_completion();
             class_latency.record_served(ended.latency_seconds);
@@ -144,7 +144,7 @@
             class: ended.class,
             outcome: ended.outcome,
             was_overdue: ended.was_overdue,
-            class_is_fast: is_fast(class_latency.served_mean(), objective_seconds),
+            class_is_fast: is_fast(class_latency.served_mean_seconds(), objective_seconds),
         };
         let sample = ended.latency_sample(&result);
         if let Some(sample) = sample {
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -89,7 +89,7 @@
 
     /// Returns whether a request may get another attempt and has enough time left for it.
     fn may_retry(&self, request: &Request) -> bool {
-        let mean_latency = self.latency.class(request.class).mean();
+        let mean_latency = self.latency.class(request.class).mean_seconds();
         !request.finished
             && !request.streaming
             && request.attempts.len() < usize::from(self.settings.max_attempts)
