--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -8,7 +8,7 @@
 use crate::requests::retry::{RETRY_COST, RETRY_COST_NOT_EXECUTED};
 use crate::requests::{Attempt, OverdueCheck};
 use crate::settings::RetrySafety;
-use crate::upstreams::{AttemptResult, UpstreamPosition, is_fast};
+use crate::upstreams::{AttemptResult, UpstreamPosition, is_well_within_objective};
 use std::time::Duration;
 
 /// Longest remaining time, in seconds, so that it can be converted to a `Duration`.
@@ -139,7 +139,7 @@
             class: ended.class,
             outcome: ended.outcome,
             was_overdue: ended.was_overdue,
-            class_is_fast: is_fast(class_latency.served_mean(), objective),
+            class_is_well_within_objective: is_well_within_objective(class_latency.served_mean(), objective),
         };
         let sample = ended.latency_sample(&result);
         if let Some(sample) = sample {
--- a/crates/core/src/upstreams/ejection_limit.rs
+++ b/crates/core/src/upstreams/ejection_limit.rs
@@ -1,5 +1,5 @@
-//! How many upstreams may be ejected, which outlier detection and the weights both go by.
+//! The limit on ejected upstreams, which outlier detection and the weights share.
 
-/// Share of the upstreams in rotation that may be ejected: when more seem unhealthy, the fault lies
-/// elsewhere.
+/// Largest share of the upstreams that may be ejected at once. If more upstreams seem unhealthy, the cause
+/// lies outside the upstreams.
 pub(crate) const MAX_EJECTED_SHARE: f64 = 0.6;
--- a/crates/core/src/upstreams/load_reports.rs
+++ b/crates/core/src/upstreams/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of upstreams and how they age.
+//! The load that upstreams report, and how its influence decreases with the age of the report.
 
 use crate::settings::LoadField;
 use crate::time::Timestamp;
@@ -6,35 +6,37 @@
 
 /// Time constant with which the reported requests in flight decay.
 const IN_FLIGHT_DECAY_SECONDS: f64 = 1.0;
-/// How long a reported utilization is valid.
+/// Age in seconds from which a reported utilization is no longer used.
 const UTILIZATION_VALID_SECONDS: f64 = 3.0;
-/// Largest value in a load report that is believed.
+/// Upper limit to which every value in a load report is clamped.
 const MAX_REPORTED_VALUE: f64 = 1e4;
 
-/// What an upstream reported of its load.
+/// The load that an upstream reported most recently.
 pub(crate) struct ReportedLoad {
-    /// Requests in flight from other balancers.
+    /// Requests in flight that other balancers sent, at `in_flight_updated_at`.
     in_flight: f64,
-    in_flight_at: Timestamp,
-    /// Share of the CPU in use.
+    in_flight_updated_at: Timestamp,
+    /// Share of the CPU in use, from 0 to 1, at `utilization_reported_at`.
     utilization: f64,
-    utilization_at: Timestamp,
+    utilization_reported_at: Timestamp,
 }
 
 impl Default for ReportedLoad {
-    /// No report yet.
+    /// Returns the state of an upstream that has not reported its load.
     fn default() -> Self {
         Self {
             in_flight: 0.0,
-            in_flight_at: Timestamp::ZERO,
+            in_flight_updated_at: Timestamp::ZERO,
             utilization: 0.0,
-            utilization_at: Timestamp::DISTANT_PAST,
+            utilization_reported_at: Timestamp::DISTANT_PAST,
         }
     }
 }
 
 impl ReportedLoad {
-    /// Takes in a load report with these fields. Values that are not finite are ignored.
+    /// Records a load report. `fields` gives the meaning of each of the `values`; values that are not finite
+    /// are ignored. `share_of_others` is the share of the reported requests that is attributed to other
+    /// balancers.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
@@ -51,7 +53,7 @@
                 }
                 LoadField::Utilization => {
                     self.utilization = value.min(1.0);
-                    self.utilization_at = now;
+                    self.utilization_reported_at = now;
                 }
                 LoadField::ServiceMs | LoadField::RequestRate | LoadField::ErrorRate | LoadField::Other => {}
             }
@@ -61,38 +63,40 @@
         }
     }
 
-    /// Sets the requests in flight from other balancers. A number beyond what is believed counts as the
-    /// largest one that is, and so does NaN.
+    /// Sets the number of requests in flight that other balancers sent. A number above
+    /// [`MAX_REPORTED_VALUE`] counts as that value, and so does NaN.
     pub(crate) fn set_in_flight(&mut self, now: Timestamp, in_flight: f64) {
         self.in_flight = in_flight.min(MAX_REPORTED_VALUE);
-        self.in_flight_at = now;
+        self.in_flight_updated_at = now;
     }
 
-    /// Raises the requests in flight from other balancers to at least this many.
-    pub(crate) fn raise_in_flight(&mut self, now: Timestamp, least: f64) {
-        self.set_in_flight(now, self.in_flight.max(least));
+    /// Raises the number of requests in flight that other balancers sent to at least `min_in_flight`.
+    pub(crate) fn raise_in_flight(&mut self, now: Timestamp, min_in_flight: f64) {
+        self.set_in_flight(now, self.in_flight.max(min_in_flight));
     }
 
-    /// The reported requests in flight, decayed with the age of the report.
+    /// Returns the number of requests in flight that other balancers sent, decayed exponentially with its
+    /// age.
     pub(crate) fn decayed_in_flight(&self, now: Timestamp) -> f64 {
-        let age = (now - self.in_flight_at).max(0.0);
+        let age = (now - self.in_flight_updated_at).max(0.0);
         self.in_flight * (-age / IN_FLIGHT_DECAY_SECONDS).exp()
     }
 
-    /// The reported utilization, if it is still valid.
+    /// Returns the reported utilization, from 0 to 1, or `None` if no report is recent enough.
     pub(crate) fn valid_utilization(&self, now: Timestamp) -> Option<f64> {
-        (now - self.utilization_at < UTILIZATION_VALID_SECONDS).then_some(self.utilization)
+        (now - self.utilization_reported_at < UTILIZATION_VALID_SECONDS).then_some(self.utilization)
     }
 }
 
-/// Share of an upstream's requests that come from other balancers. Reports are old: subtracting this
-/// balancer's present requests from them would say nothing of the others, so the others are assumed to hold
-/// their equal part.
+/// Returns the share of an upstream's requests in flight that is attributed to other balancers. Every
+/// balancer is assumed to have sent an equal part. Subtracting this balancer's own requests would be wrong,
+/// because they are counted now and the report is older.
 pub(crate) fn share_of_other_balancers(balancers: u32) -> f64 {
     1.0 - 1.0 / f64::from(balancers.max(1))
 }
 
-/// Mean utilization of the upstreams in rotation that have a valid report; `None` if none has.
+/// Returns the mean reported utilization of the upstreams in rotation, or `None` if none of them has a
+/// recent report.
 pub(crate) fn mean_utilization<'a>(
     upstreams: impl Iterator<Item = &'a Upstream>,
     now: Timestamp,
--- a/crates/core/src/upstreams/mod.rs
+++ b/crates/core/src/upstreams/mod.rs
@@ -1,4 +1,5 @@
-//! The upstreams in the endpoint list: what is known of each, and which of them take requests.
+//! The upstreams in the endpoint list: the state of each upstream, and the selection of those that take
+//! requests.
 
 mod ejection_limit;
 mod load_reports;
@@ -12,7 +13,7 @@
 mod weights;
 
 pub(crate) use load_reports::mean_utilization;
-pub(crate) use outlier_detection::{AttemptResult, is_fast};
+pub(crate) use outlier_detection::{AttemptResult, is_well_within_objective};
 pub(crate) use set::UpstreamSet;
 pub(crate) use upstream::Upstream;
 pub(crate) use upstream_list::{UpstreamList, UpstreamPosition};
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -1,5 +1,8 @@
-//! Outlier detection: upstreams that fail are ejected, for the class that failed or entirely, and probed with
-//! single requests until they serve again.
+//! Outlier detection: ejects upstreams that fail.
+//!
+//! An upstream that is unreachable is ejected for all classes for a limited time. An upstream that responds
+//! to a class with failures, or not in time, is ejected for that class, or for each class separately if it
+//! serves none, and is then probed with single requests until it serves one in time.
 
 use crate::event::Outcome;
 use crate::random::Random;
@@ -8,62 +11,71 @@
 use crate::upstreams::upstream::OVERDUE_ATTEMPT_EXTRA_LOAD;
 use crate::upstreams::{UpstreamPosition, UpstreamSet};
 
-/// Consecutive failures after which an upstream is ejected for the class that met them, or for all classes
-/// where none was served meanwhile. Low, because the failed attempts of every balancer add to the queue of a
-/// stuck upstream.
+/// Number of consecutive failures of a class after which an upstream is ejected for that class. Rejected and
+/// abandoned attempts are also counted over all classes: after this many of them, with no class served in
+/// between, the upstream is ejected for each class. The number is low because the failed attempts of all
+/// balancers add to the queue of a stuck upstream.
 const FAILURES_TO_EJECT: u32 = 2;
-/// One failure is enough where the upstream has served no request of the class for this long ...
+/// Seconds without a served request of a class after which a single failure ejects the upstream for that
+/// class, provided that the class is well within its latency objective elsewhere.
 const UNRESPONSIVE_SECONDS: f64 = 3.0;
-/// ... while the class is served within this share of its latency objective elsewhere. Not so under overload,
-/// when all upstreams are slow and ejecting some makes it worse.
-const FAST_SHARE_OF_OBJECTIVE: f64 = 0.5;
-/// Consecutive connection resets after which an upstream counts as unreachable. Where one connection in ten
-/// breaks, three in a row occur every few seconds, hence [`MIN_UNREACHABLE_SECONDS`] as well.
+/// Share of the latency objective below which the mean latency of a class is well within the objective. A
+/// higher mean latency can be a sign of overload: then all upstreams are slow, and ejecting some of them
+/// would increase the load on the others.
+const MAX_FAST_SHARE_OF_OBJECTIVE: f64 = 0.5;
+/// Number of consecutive connection resets from which an upstream may count as unreachable. If one
+/// connection in ten breaks, three resets in a row occur every few seconds, so [`MIN_UNREACHABLE_SECONDS`]
+/// is required as well.
 const RESETS_TO_EJECT: u32 = 3;
-/// What a connection that is not established counts for in broken ones.
+/// Number of connection resets that a failure to connect counts as.
 const RESETS_PER_FAILED_CONNECT: u32 = 2;
-/// Time without any response that an unreachable upstream has at least.
+/// Time without any response that must pass before an upstream counts as unreachable.
 const MIN_UNREACHABLE_SECONDS: f64 = 0.25;
-/// Duration of the first ejection. Each further one without a success doubles it.
+/// Duration of the first ejection for all classes, and of the wait before the first probe request of a
+/// class. Each further ejection without a success in between doubles the duration, and each further probe
+/// request the wait.
 const BASE_EJECTION_SECONDS: f64 = 1.5;
-/// How often the duration of an ejection doubles at most.
+/// Largest number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// How often the time between two probe requests of a class doubles at most.
+/// Largest number of times that the wait between two probe requests of a class is doubled.
 const MAX_PROBE_DOUBLINGS: u32 = 4;
 
-/// Whether the upstreams' typical response to a class is fast enough to tell an outlier from overload.
-pub(crate) fn is_fast(served_mean: f64, latency_objective: f64) -> bool {
-    served_mean < FAST_SHARE_OF_OBJECTIVE * latency_objective
+/// Returns whether a class with this mean latency of served attempts is so far below its latency objective
+/// that a slow upstream is an outlier and not a sign of overload. Both times are in seconds.
+pub(crate) fn is_well_within_objective(served_mean_latency: f64, latency_objective: f64) -> bool {
+    served_mean_latency < MAX_FAST_SHARE_OF_OBJECTIVE * latency_objective
 }
 
-/// What outlier detection knows of one upstream.
+/// The state of outlier detection for one upstream.
 pub(crate) struct OutlierState {
-    /// Failures of any class since the last success.
+    /// Rejected and abandoned attempts of all classes since the last success of any class.
     consecutive_failures: u32,
-    /// Broken connections since the last response.
+    /// Connection resets since the last response or ejection for all classes. A failure to connect counts as
+    /// [`RESETS_PER_FAILED_CONNECT`] resets.
     consecutive_resets: u32,
-    /// When it last responded, whatever the response was.
+    /// When the upstream last responded, with a success or not.
     last_response_at: Timestamp,
-    /// Ejections since the last success in time.
+    /// Ejections for all classes since the last success that was not overdue.
     ejections: u32,
+    /// When the latest ejection for all classes ends; [`Timestamp::ZERO`] if there was none.
     ejected_until: Timestamp,
     classes: Vec<ClassOutlierState>,
 }
 
-/// What outlier detection knows of one class at one upstream.
+/// The state of outlier detection for one class at one upstream.
 #[derive(Clone, Default)]
 struct ClassOutlierState {
-    /// Failures since the last success.
+    /// Failures of the class since its last success or ejection.
     consecutive_failures: u32,
     last_served_at: Timestamp,
-    /// It is ejected for this class.
+    /// Whether the upstream is ejected for this class.
     ejected: bool,
-    /// When it was ejected or last probed.
+    /// When the upstream was last probed for this class, or ejected if it has not been probed since.
     last_probed_at: Timestamp,
 }
 
 impl OutlierState {
-    /// The state of an upstream that has not been used.
+    /// Creates the state of an upstream that has not been used.
     pub(crate) fn new(class_count: usize) -> Self {
         Self {
             consecutive_failures: 0,
@@ -75,36 +87,37 @@
         }
     }
 
-    /// Whether it is ejected for all classes.
+    /// Returns whether the upstream is ejected for all classes.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until > now
     }
 
-    /// When the latest ejection for all classes ends.
+    /// Returns when the latest ejection for all classes ends, or [`Timestamp::ZERO`] if there was none.
     pub(crate) fn ejected_until(&self) -> Timestamp {
         self.ejected_until
     }
 
-    /// Whether it is ejected for one class.
+    /// Returns whether the upstream is ejected for a class.
     pub(crate) fn is_ejected_for(&self, class: usize) -> bool {
         self.classes[class].ejected
     }
 
-    /// When it last responded.
+    /// Returns when the upstream last responded, with a success or not.
     pub(crate) fn last_response_at(&self) -> Timestamp {
         self.last_response_at
     }
 
-    /// Clears ejections and failures after a restart. The count of resets and the time of the last response
-    /// stay.
-    pub(crate) fn reset(&mut self) {
+    /// Clears ejections and failures after a restart of the upstream. Keeps the number of connection resets
+    /// and the time of the last response.
+    pub(crate) fn clear_after_restart(&mut self) {
         self.ejections = 0;
         self.ejected_until = Timestamp::ZERO;
         self.consecutive_failures = 0;
         self.classes.fill(ClassOutlierState::default());
     }
 
-    /// Records a success. Returns whether it ends an ejection for the class.
+    /// Records a success. Returns whether it ends an ejection for the class, which only a success that was
+    /// not overdue does.
     fn record_success(&mut self, now: Timestamp, class: usize, was_overdue: bool) -> bool {
         let state = &mut self.classes[class];
         state.consecutive_failures = 0;
@@ -117,7 +130,7 @@
         std::mem::take(&mut state.ejected)
     }
 
-    /// Records what an outcome says of the connection to the upstream.
+    /// Records whether an outcome shows that the upstream is reachable.
     fn record_reachability(&mut self, now: Timestamp, outcome: Outcome) {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Rejected => {
@@ -130,10 +143,12 @@
         }
     }
 
+    /// Returns whether enough connections in a row have failed, for long enough, without a response.
     fn is_unreachable(&self, now: Timestamp) -> bool {
         self.consecutive_resets >= RESETS_TO_EJECT && now - self.last_response_at > MIN_UNREACHABLE_SECONDS
     }
 
+    /// Starts an ejection for all classes.
     fn eject(&mut self, now: Timestamp, random: &mut Random) {
         self.consecutive_resets = 0;
         let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
@@ -143,17 +158,18 @@
     }
 }
 
-/// When the next of the upstreams that are ejected for a class is probed.
+/// The schedule of the probe requests of one class, which the upstreams ejected for that class share.
 #[derive(Clone, Default)]
 pub(crate) struct ProbeSchedule {
-    /// Probe requests without a success.
+    /// Probe requests since the last success that ended an ejection. An ejection while no probe request is
+    /// scheduled sets it to 0.
     unsuccessful_probes: u32,
     next_probe_at: Timestamp,
 }
 
 impl ProbeSchedule {
-    /// An upstream was ejected: the next probe request follows after the base duration, unless one is
-    /// scheduled.
+    /// Records that an upstream was ejected for the class. Schedules a probe request after the base
+    /// duration, unless one is scheduled already.
     fn record_ejection(&mut self, now: Timestamp, random: &mut Random) {
         if self.next_probe_at <= now {
             self.unsuccessful_probes = 0;
@@ -161,7 +177,8 @@
         }
     }
 
-    /// A probe request is being sent: the next one waits twice as long.
+    /// Records that a probe request is being sent. The wait before the next one is twice as long, up to a
+    /// limit.
     fn record_probe(&mut self, now: Timestamp, random: &mut Random) {
         self.unsuccessful_probes += 1;
         let doublings = self.unsuccessful_probes.min(MAX_PROBE_DOUBLINGS);
@@ -169,41 +186,46 @@
         self.next_probe_at = now + wait * random.jitter();
     }
 
-    /// An upstream serves again: the fault may have been a common one, so the others are probed at once.
+    /// Records that an ejected upstream serves again. The other ejected upstreams may have failed for the
+    /// same reason, so the next one is probed at once.
     fn record_success(&mut self, now: Timestamp) {
         self.unsuccessful_probes = 0;
         self.next_probe_at = now;
     }
 }
 
-/// The result of an attempt, as far as outlier detection needs it.
+/// The result of an attempt, reduced to what outlier detection needs.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptResult {
     pub(crate) class: usize,
     pub(crate) outcome: Outcome,
-    /// It was overdue.
+    /// Whether the attempt was overdue, that is, took longer than is typical of its class.
     pub(crate) was_overdue: bool,
-    /// The class is served fast elsewhere, so that this attempt's failure is not due to overload.
-    pub(crate) class_is_fast: bool,
+    /// Whether the mean latency of the class is well within its objective, so that a failure of this attempt
+    /// is probably not due to overload. See [`is_well_within_objective`].
+    pub(crate) class_is_well_within_objective: bool,
 }
 
 impl AttemptResult {
-    /// Whether the attempt was given up as overdue.
+    /// Returns whether the attempt was overdue and then cancelled or timed out.
     pub(crate) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 
+    /// Returns whether the attempt counts as a failure of the upstream for its class.
     fn is_class_failure(&self) -> bool {
         self.is_abandoned() || matches!(self.outcome, Outcome::Rejected | Outcome::Error)
     }
 
+    /// Returns whether the attempt counts as a failure of the upstream for all classes.
     fn is_upstream_failure(&self) -> bool {
         self.is_abandoned() || self.outcome == Outcome::Rejected
     }
 }
 
 impl UpstreamSet {
-    /// Records the outcome of an attempt and ejects its upstream if it is an outlier.
+    /// Records the result of an attempt in the state of its upstream, and ejects the upstream if it is an
+    /// outlier.
     pub(crate) fn detect_outlier(
         &mut self,
         now: Timestamp,
@@ -217,22 +239,22 @@
             self.probe_schedules[class].record_success(now);
         }
         upstream.outlier.record_reachability(now, result.outcome);
-        let is_broken = matches!(result.outcome, Outcome::ConnectFailed | Outcome::Reset);
-        if is_broken && upstream.outlier.is_unreachable(now) && !upstream.outlier.is_ejected(now) {
+        let connection_failed = matches!(result.outcome, Outcome::ConnectFailed | Outcome::Reset);
+        if connection_failed && upstream.outlier.is_unreachable(now) && !upstream.outlier.is_ejected(now) {
             self.eject_for_all_classes(now, position, random);
         }
         self.count_failures(now, position, result);
         self.eject_for_failed_classes(now, position, result, random);
-        // Once the upstream is ejected for the class, its abandoned attempts do not reduce the spare
-        // capacity.
+        // Abandoned attempts at an upstream that is ejected for the class are not counted, so that they do
+        // not reduce the spare capacity.
         let upstream = &mut self.upstreams[position];
         if result.is_abandoned() && !upstream.outlier.is_ejected_for(class) {
             upstream.abandoned_attempts += 1.0;
         }
     }
 
-    /// Ejects an unreachable upstream. It comes back in slow start with a random budget: a slow probe by all
-    /// balancers.
+    /// Ejects an unreachable upstream for all classes. After the ejection, the upstream is in slow start
+    /// with a random budget below one request, so that all balancers together probe it at a low rate.
     fn eject_for_all_classes(&mut self, now: Timestamp, position: UpstreamPosition, random: &mut Random) {
         let upstream = &mut self.upstreams[position];
         upstream.outlier.eject(now, random);
@@ -242,10 +264,12 @@
         self.request_selection(now);
     }
 
+    /// Updates the failure counts and the estimated load of an upstream with the result of an attempt.
     fn count_failures(&mut self, now: Timestamp, position: UpstreamPosition, result: AttemptResult) {
         let upstream = &mut self.upstreams[position];
         if result.outcome == Outcome::Rejected {
-            // Rejections are fast: the upstream would otherwise look idle and attract more requests.
+            // An upstream that rejects requests responds fast and has few in flight. Without this load, it
+            // would look idle and attract more requests.
             upstream.reported_load.raise_in_flight(now, 2.0 * OVERDUE_ATTEMPT_EXTRA_LOAD);
         }
         if result.is_class_failure() {
@@ -256,6 +280,8 @@
         }
     }
 
+    /// Ejects an upstream for the class of an attempt, or for each class, once its failure counts reach the
+    /// limits.
     fn eject_for_failed_classes(
         &mut self,
         now: Timestamp,
@@ -265,19 +291,21 @@
     ) {
         let outlier = &self.upstreams[position].outlier;
         let class_state = &outlier.classes[result.class];
-        let is_unresponsive = now - class_state.last_served_at > UNRESPONSIVE_SECONDS && result.class_is_fast;
+        let is_unresponsive =
+            now - class_state.last_served_at > UNRESPONSIVE_SECONDS && result.class_is_well_within_objective;
         let failures = class_state.consecutive_failures;
         let class_failed = failures >= FAILURES_TO_EJECT
             || (is_unresponsive && failures > 0 && result.outcome != Outcome::Error);
-        let all_failed = outlier.consecutive_failures >= FAILURES_TO_EJECT;
+        let upstream_failed = outlier.consecutive_failures >= FAILURES_TO_EJECT;
         for class in 0..outlier.classes.len() {
-            if all_failed || (class_failed && class == result.class) {
+            if upstream_failed || (class_failed && class == result.class) {
                 self.eject_for_class(now, position, class, random);
             }
         }
     }
 
-    /// Ejects an upstream for a class, unless too many are ejected.
+    /// Ejects an upstream for a class, unless it is ejected already or the ejected share of the subset would
+    /// exceed [`MAX_EJECTED_SHARE`].
     fn eject_for_class(
         &mut self,
         now: Timestamp,
@@ -285,12 +313,12 @@
         class: usize,
         random: &mut Random,
     ) {
-        let already_ejected =
+        let already_ejected_count =
             self.subset_members().filter(|upstream| upstream.outlier.is_ejected_for(class)).count();
-        let ejected = (already_ejected + 1) as f64;
+        let ejected_count = (already_ejected_count + 1) as f64;
         let max_ejected = MAX_EJECTED_SHARE * self.subset.len() as f64;
         let state = &mut self.upstreams[position].outlier.classes[class];
-        if state.ejected || ejected > max_ejected {
+        if state.ejected || ejected_count > max_ejected {
             return;
         }
         state.consecutive_failures = 0;
@@ -299,14 +327,15 @@
         self.probe_schedules[class].record_ejection(now, random);
     }
 
-    /// How many upstreams in rotation are ejected for a class.
+    /// Returns the number of upstreams in rotation that are ejected for a class.
     pub(crate) fn ejected_count_in_rotation(&self, class: usize) -> usize {
         self.subset.iter().filter(|position| self.is_ejected_in_rotation(**position, class)).count()
     }
 
-    /// The upstream that is to be probed now with a request of a class: the one whose last probe is the
-    /// longest ago. One at a time and ever more rarely, because each may cost a request that must not be
-    /// retried.
+    /// Returns the upstream to probe now with a request of a class, or `None` if no probe request is due,
+    /// and schedules the next probe request. Selects the ejected upstream whose last probe request is the
+    /// longest ago. Upstreams are probed one at a time and at increasing intervals, because a probe request
+    /// that fails may be one that must not be retried.
     pub(crate) fn take_due_probe(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -1,10 +1,12 @@
-//! Recognizes the starts of upstreams' processes, which begin slow start, by what endpoint lists say of them.
+//! Detects in endpoint lists that the process of an upstream has started, which begins slow start.
 //!
-//! A list may state starts by a wall clock, which can be stepped by seconds or hours at any time. Such a
-//! start is recognized because it differs from the one told before, and slow start is counted on the
-//! embedder's monotonic clock from the list that told it, less a small part for the delay of the list. Only
-//! the lists that a new balancer begins with are an exception: nothing but the wall clock tells it an old
-//! start from a recent one.
+//! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds
+//! or hours at any time. Such a start is therefore detected by an incarnation that differs from the listed
+//! one before, and slow start is measured on the embedder's monotonic clock. It begins when the list
+//! arrives, less a small share of its duration that makes up for the delay of the list.
+//!
+//! The lists that a new balancer begins with are the only exception. The wall clock is then the only means
+//! to tell an old start from a recent one, so slow start begins at the stated time.
 
 use crate::event::ProcessStart;
 use crate::ids::UpstreamId;
@@ -12,133 +14,144 @@
 use crate::time::Timestamp;
 use rustc_hash::FxHashMap;
 
-/// How many upstreams that are no longer listed are remembered.
-const MAX_DEPARTED: usize = 4096;
-/// The delay of a list, by the wall clock, counts up to this share of slow start. A step of the clock moves
-/// its beginning by no more, which the budget of requests in slow start covers.
+/// Largest number of removed upstreams whose process starts are kept.
+const MAX_REMOVED_UPSTREAMS: usize = 4096;
+/// Largest delay of a list that the beginning of slow start is moved back by, as a share of the duration of
+/// slow start. The delay is measured by a wall clock. The limit ensures that a step of that clock moves the
+/// beginning by no more than this share, for which the request budget in slow start leaves enough room.
 const MAX_DELAY_SHARE: f64 = 0.1;
 
-/// Whether a list tells what has changed while this balancer was following the lists.
+/// Whether a list is one of those that a balancer begins with.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ListPosition {
-    /// The cached list, or the first one from discovery: its starts may be of any age.
+pub(crate) enum ListKind {
+    /// The cached list, or the first list from discovery. The process starts in it can be of any age.
     Initial,
-    /// A later list: a start that differs has happened since the list before.
-    Following,
+    /// Any later list from discovery. A process start in it that differs from the one listed before has
+    /// happened since the previous list.
+    Subsequent,
 }
 
-/// The latest start that was told of an upstream.
+/// The latest process start of an upstream that a list has stated.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct KnownStart {
-    /// On the embedder's clock.
-    at: Option<Timestamp>,
-    /// By a wall clock.
+    /// The time of the start on the embedder's clock, if a list states it so.
+    started_at: Option<Timestamp>,
+    /// The incarnation of the process, if a list states its start by a wall clock.
     incarnation: Option<u64>,
 }
 
 impl KnownStart {
-    /// An upstream that is listed for the first time, and when its slow start begins; `None` if it started
-    /// long ago.
-    pub(crate) fn first(
+    /// Returns the process start of an upstream that is added to the set, and when its slow start begins;
+    /// `None` if the process started long ago. `set_was_empty` is whether the set had no upstreams before
+    /// this list.
+    pub(crate) fn for_new_upstream(
         now: Timestamp,
-        told: ProcessStart,
-        position: ListPosition,
-        is_first_list: bool,
+        listed: ProcessStart,
+        kind: ListKind,
+        set_was_empty: bool,
         settings: &Settings,
     ) -> (Self, Option<Timestamp>) {
         let mut known = Self::default();
-        let started_at = match told {
-            // An upstream that appears after the first list is assumed to have just started.
-            ProcessStart::LongAgo => (!is_first_list).then_some(now),
+        let started_at = match listed {
+            // An upstream that is added to a set with other upstreams is assumed to have just started.
+            ProcessStart::LongAgo => (!set_was_empty).then_some(now),
             ProcessStart::At(time) => Some(Timestamp::from_duration(time)),
             ProcessStart::ByWallClock { incarnation, age } => {
                 known.incarnation = Some(incarnation);
-                return (known, Some(wall_clock_start(now, age.as_secs_f64(), position, settings)));
+                return (known, Some(wall_clock_start(now, age.as_secs_f64(), kind, settings)));
             }
         };
-        known.at = started_at;
+        known.started_at = started_at;
         (known, started_at)
     }
 
-    /// Takes in the start that an entry tells of a known upstream. Returns when slow start begins anew if it
-    /// is a new and recent one.
-    pub(crate) fn observe(
+    /// Records the process start that an entry states for a known upstream. Returns when slow start begins
+    /// again if the process has restarted less than the duration of slow start ago, and `None` otherwise.
+    pub(crate) fn detect_recent_restart(
         &mut self,
         now: Timestamp,
-        told: ProcessStart,
-        position: ListPosition,
+        listed: ProcessStart,
+        kind: ListKind,
         settings: &Settings,
     ) -> Option<Timestamp> {
-        let started_at = match told {
+        let started_at = match listed {
             ProcessStart::LongAgo => return None,
             ProcessStart::At(time) => {
                 let time = Timestamp::from_duration(time);
-                if self.at.is_some_and(|known| time <= known) {
+                if self.started_at.is_some_and(|known| time <= known) {
                     return None;
                 }
-                self.at = Some(time);
+                self.started_at = Some(time);
                 time
             }
             ProcessStart::ByWallClock { incarnation, age } => {
                 if self.incarnation.replace(incarnation) == Some(incarnation) {
                     return None;
                 }
-                wall_clock_start(now, age.as_secs_f64(), position, settings)
+                wall_clock_start(now, age.as_secs_f64(), kind, settings)
             }
         };
         (now - started_at < settings.slow_start_duration.as_secs_f64()).then_some(started_at)
     }
 }
 
-/// When slow start begins for a start told by a wall clock, `age` seconds ago by that clock.
-fn wall_clock_start(now: Timestamp, age: f64, position: ListPosition, settings: &Settings) -> Timestamp {
+/// Returns when slow start begins for a process start that was `age` seconds ago by a wall clock. `now` is
+/// the time at which the list arrived.
+fn wall_clock_start(now: Timestamp, age: f64, kind: ListKind, settings: &Settings) -> Timestamp {
     let max_delay = MAX_DELAY_SHARE * settings.slow_start_duration.as_secs_f64();
-    match position {
-        ListPosition::Initial => now + -age,
-        ListPosition::Following => now + -age.min(max_delay),
+    match kind {
+        ListKind::Initial => now + -age,
+        ListKind::Subsequent => now + -age.min(max_delay),
     }
 }
 
-/// The starts of upstreams whose state was dropped because they were no longer listed. One that comes back
-/// with the same start was cut off and not restarted.
+/// The process starts of upstreams whose state was dropped because they were no longer listed. An upstream
+/// that is listed again with the same start was only missing from the list and has not been restarted.
 #[derive(Default)]
-pub(crate) struct DepartedStarts {
-    by_id: FxHashMap<UpstreamId, DepartedStart>,
+pub(crate) struct RemovedUpstreamStarts {
+    by_id: FxHashMap<UpstreamId, RemovedUpstreamStart>,
 }
 
-/// What is remembered of an upstream that is no longer listed.
+/// The process start of an upstream that is no longer listed.
 #[derive(Clone, Copy)]
-pub(crate) struct DepartedStart {
+pub(crate) struct RemovedUpstreamStart {
     incarnation: u64,
-    /// When its slow start began; `None` once it had warmed up.
+    /// When slow start of the upstream began; `None` if the upstream had warmed up before it was dropped.
     pub(crate) slow_start_began_at: Option<Timestamp>,
 }
 
-impl DepartedStarts {
-    /// Number of entries of state.
+impl RemovedUpstreamStarts {
+    /// Returns the number of upstreams whose process starts are kept.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Remembers an upstream whose state is dropped. Starts on the embedder's clock need no memory.
-    pub(crate) fn remember(
+    /// Keeps the process start of an upstream whose state is dropped. A start on the embedder's clock is not
+    /// kept, because a list that names the upstream again states it on the same clock.
+    pub(crate) fn insert(
         &mut self,
         id: UpstreamId,
         known: KnownStart,
         slow_start_began_at: Option<Timestamp>,
     ) {
         let Some(incarnation) = known.incarnation else { return };
-        if self.by_id.len() >= MAX_DEPARTED {
-            // Few come back, and those that do are only warmed up once more.
+        if self.by_id.len() >= MAX_REMOVED_UPSTREAMS {
+            // Clearing the map does little harm: few removed upstreams are listed again, and those only go
+            // through slow start once more.
             self.by_id.clear();
         }
-        self.by_id.insert(id, DepartedStart { incarnation, slow_start_began_at });
+        self.by_id.insert(id, RemovedUpstreamStart { incarnation, slow_start_began_at });
     }
 
-    /// Forgets an upstream that is listed again. Returns what is known of it if it has not been restarted.
-    pub(crate) fn take_same(&mut self, id: UpstreamId, told: ProcessStart) -> Option<DepartedStart> {
-        let departed = self.by_id.remove(&id)?;
-        let ProcessStart::ByWallClock { incarnation, .. } = told else { return None };
-        (departed.incarnation == incarnation).then_some(departed)
+    /// Removes and returns the process start of an upstream that is listed again. Returns `None` if it is
+    /// not known or if the upstream has been restarted.
+    pub(crate) fn take_if_same_start(
+        &mut self,
+        id: UpstreamId,
+        listed: ProcessStart,
+    ) -> Option<RemovedUpstreamStart> {
+        let removed = self.by_id.remove(&id)?;
+        let ProcessStart::ByWallClock { incarnation, .. } = listed else { return None };
+        (removed.incarnation == incarnation).then_some(removed)
     }
 }
--- a/crates/core/src/upstreams/set.rs
+++ b/crates/core/src/upstreams/set.rs
@@ -1,4 +1,4 @@
-//! The set of all upstreams, and updates of the endpoint list.
+//! The set of all upstreams, and how updates of the endpoint list change it.
 
 use crate::event::{Availability, EndpointEntry, UpdateScope};
 use crate::ids::UpstreamId;
@@ -7,39 +7,41 @@
 use crate::time::Timestamp;
 use crate::upstreams::load_reports::share_of_other_balancers;
 use crate::upstreams::outlier_detection::ProbeSchedule;
-use crate::upstreams::process_start::{DepartedStarts, KnownStart, ListPosition};
+use crate::upstreams::process_start::{KnownStart, ListKind, RemovedUpstreamStarts};
 use crate::upstreams::slow_start::SlowStart;
 use crate::upstreams::subset::min_subset_size;
 use crate::upstreams::{AttemptResult, Upstream, UpstreamList, UpstreamPosition};
 use rustc_hash::FxHashMap;
 
-/// The weight of an upstream whose listed weight is not positive and finite.
+/// Weight of an upstream whose listed weight is zero, negative or not finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Gone upstreams are dropped once they exceed one part in so many of the set.
-const MAX_GONE_DIVISOR: usize = 4;
+/// Removed upstreams without attempts in flight are dropped at the latest when they are more than one in
+/// this many of the set.
+const MAX_DROPPABLE_DIVISOR: usize = 4;
 
-/// The listed upstreams, the removed ones whose state has not been dropped yet, and the subset that takes
-/// requests.
+/// All upstreams that this balancer keeps state for, and the subset of them that takes requests. They
+/// include removed upstreams whose state has not been dropped yet.
 #[derive(Default)]
 pub(crate) struct UpstreamSet {
     pub(super) upstreams: UpstreamList,
     positions: FxHashMap<UpstreamId, UpstreamPosition>,
-    /// Positions of the members of the subset, in this balancer's own order.
+    /// Positions of the members of the subset, in the order of rotation of this balancer.
     pub(super) subset: Vec<UpstreamPosition>,
+    /// Least number of upstreams in the subset, if so many are ready.
     pub(super) min_subset_size: usize,
-    /// When the subset has to be selected again.
+    /// When the subset has to be selected again at the latest.
     pub(super) next_selection_at: Timestamp,
-    /// By class.
+    /// The schedule of the probe requests of each class, indexed by class.
     pub(super) probe_schedules: Vec<ProbeSchedule>,
-    departed_starts: DepartedStarts,
-    /// When the abandoned attempts of the upstreams outside the subset were last made to decay.
-    pub(super) outside_decayed_at: Timestamp,
-    /// A list has come from discovery.
+    removed_starts: RemovedUpstreamStarts,
+    /// When the decay of the abandoned attempts was last applied to the upstreams outside the subset.
+    pub(super) outside_subset_decayed_at: Timestamp,
+    /// Whether discovery has delivered a list.
     has_list_from_discovery: bool,
 }
 
 impl UpstreamSet {
-    /// An empty set for a balancer that expects so many requests per second.
+    /// Creates an empty set for a balancer that expects `expected_rate` requests per second.
     pub(crate) fn new(settings: &Settings, expected_rate: f64) -> Self {
         Self {
             min_subset_size: min_subset_size(expected_rate),
@@ -48,58 +50,59 @@
         }
     }
 
-    /// Number of entries of state.
+    /// Returns the total number of entries in the collections whose size depends on the number of upstreams,
+    /// removed ones included.
     pub(crate) fn entries(&self) -> usize {
-        self.upstreams.len() + self.positions.len() + self.departed_starts.len()
+        self.upstreams.len() + self.positions.len() + self.removed_starts.len()
     }
 
-    /// Number of upstreams in the set.
+    /// Returns the number of upstreams in the set.
     pub(crate) fn len(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// The upstream at a position.
+    /// Returns the upstream at a position.
     pub(crate) fn at(&self, position: UpstreamPosition) -> &Upstream {
         &self.upstreams[position]
     }
 
-    /// The upstream at a position, to be changed.
+    /// Returns a mutable reference to the upstream at a position.
     pub(crate) fn at_mut(&mut self, position: UpstreamPosition) -> &mut Upstream {
         &mut self.upstreams[position]
     }
 
-    /// An upstream by its id, to be changed.
+    /// Returns a mutable reference to the upstream with an id, if it is in the set.
     pub(crate) fn get_mut(&mut self, id: UpstreamId) -> Option<&mut Upstream> {
         let position = *self.positions.get(&id)?;
         Some(&mut self.upstreams[position])
     }
 
-    /// All positions once, from the one that `start` stands for.
+    /// Returns every position once, in order, beginning at `start` modulo the number of upstreams.
     pub(crate) fn positions_from(&self, start: usize) -> impl Iterator<Item = UpstreamPosition> + use<> {
         self.upstreams.positions_from(start)
     }
 
-    /// Positions of the members of the subset, in the order of the rotation.
+    /// Returns the positions of the members of the subset, in the order of rotation.
     pub(crate) fn subset(&self) -> &[UpstreamPosition] {
         &self.subset
     }
 
-    /// The members of the subset.
+    /// Returns an iterator over the members of the subset.
     pub(crate) fn subset_members(&self) -> impl Iterator<Item = &Upstream> {
         self.subset.iter().map(|position| &self.upstreams[*position])
     }
 
-    /// Has the subset selected again with the next tick.
+    /// Requests that the next tick selects the subset again.
     pub(super) fn request_selection(&mut self, now: Timestamp) {
         self.next_selection_at = now;
     }
 
-    /// Whether the subset has to be selected again.
+    /// Returns whether the subset has to be selected again.
     pub(crate) fn is_selection_due(&self, now: Timestamp) -> bool {
         now >= self.next_selection_at
     }
 
-    /// Takes in a load report.
+    /// Records a load report of an upstream. Ignores a report of an unknown upstream.
     pub(crate) fn record_load_report(
         &mut self,
         now: Timestamp,
@@ -113,8 +116,8 @@
         }
     }
 
-    /// Takes in the end of an attempt. `relative_latency` is its latency in relation to the mean of its
-    /// class, where it says something of the upstream.
+    /// Records the end of an attempt. `relative_latency` is its latency divided by the mean latency of its
+    /// class, or `None` if the attempt tells nothing about the latency of the upstream.
     pub(crate) fn record_attempt_end(
         &mut self,
         now: Timestamp,
@@ -136,7 +139,8 @@
         self.detect_outlier(now, position, result, random);
     }
 
-    /// Applies an update of the endpoint list. Returns whether the subset has to be selected again.
+    /// Applies an update of the endpoint list. Returns whether the subset has to be selected again, because
+    /// upstreams have changed or their positions may have.
     pub(crate) fn apply_update(
         &mut self,
         now: Timestamp,
@@ -151,36 +155,34 @@
                 upstream.availability = Availability::Removed;
             }
         }
-        let list_position = self.advance_list_position(scope);
-        let is_first_list = self.upstreams.is_empty();
+        let list_kind = self.classify_list(scope);
+        let set_was_empty = self.upstreams.is_empty();
         let count_before = self.upstreams.len();
         let mut needs_selection = is_whole_list;
         for entry in entries {
-            let position =
-                self.position_or_insert(now, entry, list_position, is_first_list, settings, random);
-            needs_selection |=
-                self.upstreams[position].apply_entry(now, entry, list_position, settings, random);
+            let position = self.position_or_insert(now, entry, list_kind, set_was_empty, settings, random);
+            needs_selection |= self.upstreams[position].apply_entry(now, entry, list_kind, settings, random);
         }
         let has_grown = self.upstreams.len() > count_before;
-        let has_dropped = self.drop_gone_upstreams(has_grown);
+        let has_dropped = self.drop_removed_upstreams(has_grown);
         needs_selection || has_dropped
     }
 
-    /// The position of a list among those of this balancer.
-    fn advance_list_position(&mut self, scope: UpdateScope) -> ListPosition {
+    /// Records that a list with this scope has arrived, and returns its kind.
+    fn classify_list(&mut self, scope: UpdateScope) -> ListKind {
         let had_list_from_discovery = self.has_list_from_discovery;
         self.has_list_from_discovery |= scope != UpdateScope::Cached;
-        let follows = had_list_from_discovery && scope != UpdateScope::Cached;
-        if follows { ListPosition::Following } else { ListPosition::Initial }
+        let is_subsequent = had_list_from_discovery && scope != UpdateScope::Cached;
+        if is_subsequent { ListKind::Subsequent } else { ListKind::Initial }
     }
 
-    /// The position of a listed upstream, which is added if it is new.
+    /// Returns the position of a listed upstream, and adds the upstream if it is not in the set.
     fn position_or_insert(
         &mut self,
         now: Timestamp,
         entry: &EndpointEntry,
-        list_position: ListPosition,
-        is_first_list: bool,
+        list_kind: ListKind,
+        set_was_empty: bool,
         settings: &Settings,
         random: &mut Random,
     ) -> UpstreamPosition {
@@ -188,33 +190,33 @@
             return position;
         }
         let (known_start, mut started_at) =
-            KnownStart::first(now, entry.process_start, list_position, is_first_list, settings);
-        if let Some(departed) = self.departed_starts.take_same(entry.id, entry.process_start) {
-            started_at = departed.slow_start_began_at;
+            KnownStart::for_new_upstream(now, entry.process_start, list_kind, set_was_empty, settings);
+        if let Some(removed) = self.removed_starts.take_if_same_start(entry.id, entry.process_start) {
+            started_at = removed.slow_start_began_at;
         }
         let slow_start = SlowStart::new(started_at, random.fraction());
         let mut upstream = Upstream::new(entry.id, known_start, slow_start, self.probe_schedules.len());
-        upstream.awaits_selection = !is_first_list;
+        upstream.awaits_selection = !set_was_empty;
         let position = self.upstreams.push(upstream);
         self.positions.insert(entry.id, position);
         position
     }
 
-    /// Drops the upstreams that are gone, when others were added or many are gone: otherwise the state of a
-    /// balancer would grow as long as upstreams are replaced. Returns whether any may have been dropped;
-    /// positions may then have changed.
-    fn drop_gone_upstreams(&mut self, has_grown: bool) -> bool {
-        let gone_count = self.upstreams.iter().filter(|upstream| upstream.is_gone()).count();
-        if !has_grown && gone_count <= self.upstreams.len() / MAX_GONE_DIVISOR {
+    /// Drops the removed upstreams without attempts in flight, if the set has grown or many can be dropped.
+    /// Without this, the state of a balancer would grow with every upstream that is replaced. Returns
+    /// whether upstreams may have been dropped, after which positions may have changed.
+    fn drop_removed_upstreams(&mut self, has_grown: bool) -> bool {
+        let droppable_count = self.upstreams.iter().filter(|upstream| upstream.can_be_dropped()).count();
+        if !has_grown && droppable_count <= self.upstreams.len() / MAX_DROPPABLE_DIVISOR {
             return false;
         }
-        let departed_starts = &mut self.departed_starts;
+        let removed_starts = &mut self.removed_starts;
         self.upstreams.retain(|upstream| {
-            if upstream.is_gone() {
+            if upstream.can_be_dropped() {
                 let began_at = upstream.slow_start.started_at();
-                departed_starts.remember(upstream.id, upstream.known_start, began_at);
+                removed_starts.insert(upstream.id, upstream.known_start, began_at);
             }
-            !upstream.is_gone()
+            !upstream.can_be_dropped()
         });
         let positions = self.upstreams.positions();
         self.positions = positions.map(|position| (self.upstreams[position].id, position)).collect();
@@ -223,12 +225,13 @@
 }
 
 impl Upstream {
-    /// Takes in an entry of the list. Returns whether the subset has to be selected again.
+    /// Applies an entry of the endpoint list. Returns whether the subset has to be selected again, because
+    /// the upstream was restarted, became ready or is no longer ready.
     fn apply_entry(
         &mut self,
         now: Timestamp,
         entry: &EndpointEntry,
-        list_position: ListPosition,
+        list_kind: ListKind,
         settings: &Settings,
         random: &mut Random,
     ) -> bool {
@@ -237,25 +240,28 @@
         self.cell = entry.cell;
         self.availability = entry.availability;
         self.apply_weight(now, entry.weight, settings);
-        let restarted_at = self.known_start.observe(now, entry.process_start, list_position, settings);
+        let restarted_at =
+            self.known_start.detect_recent_restart(now, entry.process_start, list_kind, settings);
         if let Some(restarted_at) = restarted_at {
-            self.outlier.reset();
+            self.outlier.clear_after_restart();
             self.slow_start.restart(restarted_at, random.fraction());
             self.awaits_selection = true;
         }
         was_ready != self.is_ready() || restarted_at.is_some()
     }
 
-    fn apply_weight(&mut self, now: Timestamp, listed: f64, settings: &Settings) {
-        let weight = if listed > 0.0 && listed.is_finite() { listed } else { DEFAULT_WEIGHT };
+    /// Derives the size of the upstream and, from a live weight, its reported load from the listed weight.
+    fn apply_weight(&mut self, now: Timestamp, listed_weight: f64, settings: &Settings) {
+        let weight =
+            if listed_weight > 0.0 && listed_weight.is_finite() { listed_weight } else { DEFAULT_WEIGHT };
         match settings.weight_kind {
             WeightKind::Ignored => self.size = 1.0,
             WeightKind::Size => self.size = weight,
             WeightKind::Live => {
                 self.size = self.size.max(weight);
                 let in_flight = self.size / weight - 1.0;
-                let of_others = in_flight * share_of_other_balancers(settings.balancers);
-                self.reported_load.set_in_flight(now, of_others);
+                let in_flight_from_others = in_flight * share_of_other_balancers(settings.balancers);
+                self.reported_load.set_in_flight(now, in_flight_from_others);
             }
         }
     }
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -1,67 +1,73 @@
-//! Slow start: an upstream that has just started gets fewer requests until it has warmed up.
+//! Slow start: limits the requests to an upstream that has just started, until it has warmed up.
 
 use crate::settings::Settings;
 use crate::time::Timestamp;
 
-/// The rate of requests granted in slow start, as a share of the rate that would overload the upstream.
-const BUDGET_SHARE_OF_OVERLOAD: f64 = 0.4;
-/// How fast the capacity of an upstream in slow start follows its reported utilization, per second. Reports
-/// are a second or two old.
-const CAPACITY_FOLLOW_RATE: f64 = 0.8;
-/// The most requests that the budget accumulates.
-const MAX_BUDGET: f64 = 1.5;
+/// Rate at which an upstream in slow start is granted requests, as a share of the rate that would overload
+/// it.
+const BUDGET_SHARE_OF_OVERLOAD_RATE: f64 = 0.4;
+/// Rate, per second, at which the capacity scale of an upstream in slow start is adjusted to its reported
+/// utilization. The rate is limited because load reports are one or two seconds old.
+const CAPACITY_ADJUSTMENT_PER_SECOND: f64 = 0.8;
+/// Largest number of requests that the budget accumulates.
+const MAX_BUDGET_REQUESTS: f64 = 1.5;
 
-/// The slow start of one upstream.
+/// The state of slow start of one upstream.
 pub(crate) struct SlowStart {
-    /// When warming up began; `None` once the upstream has warmed up.
+    /// When slow start began, or will begin at the end of an ejection; `None` once the upstream has warmed
+    /// up.
     started_at: Option<Timestamp>,
-    /// Factor on the stated capacity while the upstream warms up, learned from its reported utilization; may
-    /// be below 1.
+    /// Factor by which the capacity in slow start differs from the one that the settings state. It is
+    /// learned from the reported utilization, may be above or below 1, and is 1 outside slow start.
     capacity_scale: f64,
-    /// Requests that the upstream may get now. Caps the requests by elapsed time, not only by turns in the
-    /// rotation.
+    /// Number of requests that the upstream may be sent now. It grows with elapsed time, so that the
+    /// requests are limited per second and not only by the turns in the rotation.
     budget: f64,
 }
 
 impl SlowStart {
-    /// The state of an upstream that started at this time, or long ago for `None`.
+    /// Creates the state of an upstream whose slow start began at `started_at`, or which has warmed up if
+    /// that is `None`. `budget` is the initial budget in requests.
     pub(crate) fn new(started_at: Option<Timestamp>, budget: f64) -> Self {
         Self { started_at, capacity_scale: 1.0, budget }
     }
 
-    /// Begins again at a restart of the upstream.
+    /// Begins slow start again after a restart of the upstream, without the learned capacity scale.
     pub(crate) fn restart(&mut self, started_at: Timestamp, budget: f64) {
         *self = Self::new(Some(started_at), budget);
     }
 
-    /// Begins again at the end of an ejection. What was learned of the capacity is kept.
+    /// Schedules slow start to begin again at the end of an ejection. Keeps the learned capacity scale.
     pub(crate) fn restart_after_ejection(&mut self, ejected_until: Timestamp, budget: f64) {
         self.started_at = Some(ejected_until);
         self.budget = budget;
     }
 
-    /// When it began; `None` once the upstream has warmed up.
+    /// Returns when slow start began, or `None` if the upstream has warmed up.
     pub(crate) fn started_at(&self) -> Option<Timestamp> {
         self.started_at
     }
 
-    /// Whether the upstream is warming up at this time, whether or not it is in the subset.
+    /// Returns whether the upstream is warming up at `now`. The result is valid for upstreams inside and
+    /// outside the subset.
     pub(crate) fn is_warming_up(&self, now: Timestamp, settings: &Settings) -> bool {
         let duration = settings.slow_start_duration.as_secs_f64();
         self.started_at.is_some_and(|started_at| now - started_at < duration)
     }
 
-    /// Whether the upstream counts as warming up. Updated only while it is in the subset.
+    /// Returns whether the upstream was warming up at the latest update of its progress. The progress is
+    /// updated only while the upstream is in the subset.
     pub(crate) fn is_active(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Adapts the capacity to a reported utilization. The stated capacity is the least that the upstream has,
-    /// so it may be used as much as the others are.
-    pub(crate) fn follow_utilization(
+    /// Adjusts the capacity scale so that the utilization of the upstream approaches the mean utilization.
+    /// The capacity that the settings state is the least that the upstream has, so the upstream may be used
+    /// as much as the others are. `elapsed` is in seconds; without a reported utilization the scale stays.
+    pub(crate) fn adjust_capacity_scale(
         &mut self,
         elapsed: f64,
-        reported: Option<f64>,
+        reported_utilization: Option<f64>,
         mean_utilization: f64,
         settings: &Settings,
     ) {
@@ -69,16 +75,18 @@
             self.capacity_scale = 1.0;
             return;
         }
-        let Some(utilization) = reported else { return };
-        // Not beyond the factor at which it is overloaded: it may be able to do no more than what is stated.
+        let Some(utilization) = reported_utilization else { return };
+        // The scale does not exceed the factor at which the upstream is overloaded, because the upstream may
+        // be able to do no more than the settings state.
         let max_scale = settings.overload_factor.max(1.0);
-        let spare = (mean_utilization - utilization) / mean_utilization;
-        let scale = self.capacity_scale * (CAPACITY_FOLLOW_RATE * elapsed * spare).exp();
+        let relative_headroom = (mean_utilization - utilization) / mean_utilization;
+        let scale =
+            self.capacity_scale * (CAPACITY_ADJUSTMENT_PER_SECOND * elapsed * relative_headroom).exp();
         self.capacity_scale = scale.clamp(1.0 / max_scale, max_scale);
     }
 
-    /// The share of its full capacity that the upstream is stated to have now. Ends slow start once it has
-    /// all of it.
+    /// Returns the share of its full capacity, up to 1, that the upstream has at `now` according to the
+    /// settings. Ends slow start once the share is 1.
     pub(crate) fn update_progress(&mut self, now: Timestamp, settings: &Settings) -> f64 {
         let floor = settings.slow_start_floor.min(1.0);
         let duration = settings.slow_start_duration.as_secs_f64().max(1e-6);
@@ -90,26 +98,27 @@
         progress
     }
 
-    /// Factor on the stated capacity; may be below 1.
+    /// Returns the factor by which the capacity differs from the one that the settings state. It may be
+    /// above or below 1.
     pub(crate) fn capacity_scale(&self) -> f64 {
         self.capacity_scale
     }
 
-    /// Adds to the budget what an upstream of this weight may get in `elapsed` seconds, where a warm upstream
-    /// gets `warm_rate` requests per second.
+    /// Adds to the budget the requests that an upstream with the rotation weight `weight` may be sent in
+    /// `elapsed` seconds. `warm_rate` is the rate in requests per second of an upstream that has warmed up.
     pub(crate) fn refill_budget(&mut self, elapsed: f64, warm_rate: f64, weight: f64, settings: &Settings) {
         if self.is_active() {
-            let rate_factor = BUDGET_SHARE_OF_OVERLOAD * settings.overload_factor;
-            self.budget = (self.budget + elapsed * warm_rate * rate_factor * weight).min(MAX_BUDGET);
+            let rate_factor = BUDGET_SHARE_OF_OVERLOAD_RATE * settings.overload_factor;
+            self.budget = (self.budget + elapsed * warm_rate * rate_factor * weight).min(MAX_BUDGET_REQUESTS);
         }
     }
 
-    /// Whether the upstream may get a request now.
+    /// Returns whether slow start permits to send the upstream a request now.
     pub(crate) fn permits_request(&self) -> bool {
         !self.is_active() || self.budget >= 1.0
     }
 
-    /// Takes one request off the budget.
+    /// Deducts one request from the budget, if the upstream is in slow start.
     pub(crate) fn record_request(&mut self) {
         if self.is_active() {
             self.budget -= 1.0;
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -1,8 +1,9 @@
-//! Subsetting: a balancer that sees little traffic sends it to a part of the upstreams only.
+//! Subsetting: a balancer with little traffic sends it to only a part of the upstreams.
 //!
-//! With too little traffic for each upstream, a balancer could not keep a connection to each in use nor learn
-//! what it needs of each. Balancers that share a shuffled order of the upstreams take neighbouring parts of
-//! it, so that each upstream is in about as many subsets as any other. The price is a smaller choice.
+//! If a balancer spread little traffic over all upstreams, it could neither keep a connection to each of
+//! them in use nor collect enough statistics of each. Balancers that share a shuffled order of the upstreams
+//! take adjacent parts of that order, so that all upstreams are in about the same number of subsets. The
+//! disadvantage is that a balancer has fewer upstreams to choose from.
 
 use crate::action::Action;
 use crate::random::Random;
@@ -10,36 +11,39 @@
 use crate::time::Timestamp;
 use crate::upstreams::{UpstreamPosition, UpstreamSet};
 
-/// Upstreams in a subset for each request per second that the balancer expects.
-const UPSTREAMS_PER_REQUEST_RATE: f64 = 0.7;
-/// The least number of upstreams in a subset.
+/// Least number of upstreams in a subset for each request per second that the balancer expects.
+const UPSTREAMS_PER_REQUEST_PER_SECOND: f64 = 0.7;
+/// Lower limit of the least subset size that follows from the expected rate.
 const MIN_SUBSET_SIZE: f64 = 2.0;
-/// The largest number of upstreams that the expected rate asks for.
+/// Upper limit of the least subset size that follows from the expected rate.
 const MAX_SUBSET_SIZE: f64 = 1e6;
-/// The number of subsets that each upstream is in on average, rounded down.
+/// Average number of subsets that each upstream is in, if that makes the subsets larger than their least
+/// size. The size of a subset is rounded down.
 const TARGET_SUBSETS_PER_UPSTREAM: usize = 4;
-/// A subset that would hold this part of the upstreams, or more, holds all of them: a smaller one would
-/// reduce the choice and save little. The numerator of the part.
+/// Numerator of the fraction of the ready upstreams from which a subset includes all of them. A slightly
+/// smaller subset would reduce the choice of upstreams and save little.
 const FULL_SET_NUMERATOR: usize = 4;
-/// The denominator of that part.
+/// Denominator of the fraction of the ready upstreams from which a subset includes all of them.
 const FULL_SET_DENOMINATOR: usize = 5;
-/// Moves the round to the upper bits of the key that upstreams are sorted by.
-const ROUND_KEY_SHIFT: u32 = 48;
+/// Number of bits by which the round is shifted to the left before it is combined with the id of an upstream
+/// to seed the sort key of that upstream.
+const ROUND_KEY_SHIFT_BITS: u32 = 48;
 
-/// The least number of upstreams in the subset of a balancer that expects so many requests per second.
+/// Returns the least subset size of a balancer that expects `expected_rate` requests per second.
 pub(crate) fn min_subset_size(expected_rate: f64) -> usize {
-    (UPSTREAMS_PER_REQUEST_RATE * expected_rate).clamp(MIN_SUBSET_SIZE, MAX_SUBSET_SIZE) as usize
+    (UPSTREAMS_PER_REQUEST_PER_SECOND * expected_rate).clamp(MIN_SUBSET_SIZE, MAX_SUBSET_SIZE) as usize
 }
 
-/// Which part of the shared order a balancer takes.
+/// The part of the shared order of upstreams that one balancer takes.
 struct SubsetPlan {
     /// Number of upstreams in the subset.
     size: usize,
-    /// The subset holds all upstreams that are ready.
-    takes_all: bool,
-    /// Selects the shuffled order; the balancers of one round take disjoint parts of it.
+    /// Whether the subset includes all ready upstreams.
+    includes_all: bool,
+    /// Number of the round that the balancer belongs to. Each round has a shuffled order of its own, of
+    /// which its balancers take disjoint parts.
     round: u64,
-    /// Where in that order the part begins.
+    /// Index in the shuffled order at which the part of the balancer begins.
     offset: usize,
 }
 
@@ -51,7 +55,7 @@
         let index = settings.index as usize;
         Self {
             size,
-            takes_all: size * FULL_SET_DENOMINATOR >= ready_count * FULL_SET_NUMERATOR,
+            includes_all: size * FULL_SET_DENOMINATOR >= ready_count * FULL_SET_NUMERATOR,
             round: (index / parts) as u64,
             offset: index % parts * size,
         }
@@ -59,8 +63,10 @@
 }
 
 impl UpstreamSet {
-    /// Selects the upstreams that take requests. Members stay where possible, so that connections stay warm;
-    /// unless all are taken, ejected members are replaced by the next in the order.
+    /// Selects the subset of upstreams that take requests. Members are kept where possible, so that their
+    /// connections stay in use. Unless the subset includes all ready upstreams, members that are ejected for
+    /// all classes are replaced by the next upstreams in the selection order, and idle connections to
+    /// members that exceed the size of the subset are closed.
     pub(crate) fn select_subset(
         &mut self,
         now: Timestamp,
@@ -78,29 +84,32 @@
         let order = self.selection_order(&plan);
         let kept_count = self.keep_members(now, &plan, &order);
         let member_count = self.add_members(now, &plan, &order, kept_count);
-        if !plan.takes_all {
+        if !plan.includes_all {
             self.remove_members(&plan, &order, member_count, actions);
         }
         self.subset = order;
         let upstreams = &self.upstreams;
         self.subset.retain(|position| upstreams[*position].in_subset);
-        // Each balancer rotates in an order of its own, so that their turns do not coincide.
+        // Each balancer has a random order of rotation, so that an upstream does not have its turns at all
+        // balancers at the same time.
         random.shuffle(&mut self.subset);
     }
 
-    /// When the first of the present ejections ends: its upstream is then selected again.
+    /// Returns when the first of the current ejections for all classes ends, so that the subset is selected
+    /// again with the upstream concerned, or [`Timestamp::DISTANT_FUTURE`] if there is none.
     fn end_of_next_ejection(&self, now: Timestamp) -> Timestamp {
         let ends = self.upstreams.iter().map(|upstream| upstream.outlier.ejected_until());
         ends.filter(|end| *end > now).fold(Timestamp::DISTANT_FUTURE, Timestamp::min)
     }
 
-    /// The positions of the ready upstreams, this balancer's part first.
+    /// Returns the positions of the ready upstreams in the order of selection, in which this balancer's part
+    /// of the shuffled order comes first.
     fn selection_order(&self, plan: &SubsetPlan) -> Vec<UpstreamPosition> {
         let positions = self.upstreams.positions();
         let mut order: Vec<UpstreamPosition> =
             positions.filter(|position| self.upstreams[*position].is_ready()).collect();
-        if !plan.takes_all {
-            let round_key = plan.round << ROUND_KEY_SHIFT;
+        if !plan.includes_all {
+            let round_key = plan.round << ROUND_KEY_SHIFT_BITS;
             order.sort_by_cached_key(|position| {
                 Random::with_seed(self.upstreams[*position].id.0 ^ round_key).any_u64()
             });
@@ -110,22 +119,24 @@
         order
     }
 
-    /// Keeps the members that can be used, and takes in the new upstreams of this balancer's part. Returns
-    /// the number of members.
+    /// Keeps the members that are not ejected for all classes, and adds those upstreams in this balancer's
+    /// part that await selection. If the subset includes all ready upstreams, adds each of them. Returns the
+    /// number of members.
     fn keep_members(&mut self, now: Timestamp, plan: &SubsetPlan, order: &[UpstreamPosition]) -> usize {
         let mut member_count = 0;
         for (rank, position) in order.iter().enumerate() {
             let upstream = &mut self.upstreams[*position];
             let is_usable = !upstream.outlier.is_ejected(now);
             let is_selected = upstream.in_subset || (upstream.awaits_selection && rank < plan.size);
-            upstream.in_subset = plan.takes_all || (is_usable && is_selected);
+            upstream.in_subset = plan.includes_all || (is_usable && is_selected);
             upstream.awaits_selection &= !is_usable;
             member_count += usize::from(upstream.in_subset);
         }
         member_count
     }
 
-    /// Adds the next upstreams in the order until the subset is full. Returns the number of members.
+    /// Adds the next upstreams in the selection order until the subset is full. Returns the number of
+    /// members.
     fn add_members(
         &mut self,
         now: Timestamp,
@@ -144,7 +155,8 @@
         member_count
     }
 
-    /// Removes the last members in the order until the subset has its size.
+    /// Removes the last members in the selection order until the subset has its planned size, and closes the
+    /// idle connections to them.
     fn remove_members(
         &mut self,
         plan: &SubsetPlan,
--- a/crates/core/src/upstreams/upstream.rs
+++ b/crates/core/src/upstreams/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as this balancer sees it.
+//! The state that this balancer keeps for one upstream.
 
 use crate::event::Availability;
 use crate::ids::{CellId, UpstreamId, ZoneId};
@@ -7,42 +7,47 @@
 use crate::upstreams::outlier_detection::OutlierState;
 use crate::upstreams::process_start::KnownStart;
 use crate::upstreams::slow_start::SlowStart;
-use crate::upstreams::weights::{RelativeLatency, Rotation};
+use crate::upstreams::weights::{RelativeLatency, RotationState};
 
-/// Load that an overdue attempt adds to the one request that it already counts as: its upstream may be stuck.
+/// Load, in requests, that an overdue attempt adds beyond the one request that every attempt in flight
+/// counts as. The added load directs requests away from an upstream that may be stuck.
 pub(crate) const OVERDUE_ATTEMPT_EXTRA_LOAD: f64 = 4.0;
 
-/// One upstream and the states that the modules beside this one own.
+/// One upstream. The types of its composite fields belong to the other modules of this folder.
 pub(crate) struct Upstream {
     pub(crate) id: UpstreamId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) availability: Availability,
-    /// The listed size; with live weights, the largest weight seen.
+    /// The size in the units of the listed weights: the listed weight itself or, if the list states live
+    /// weights, the largest weight seen; 1 if the settings ignore the listed weights.
     pub(crate) size: f64,
-    /// This balancer's attempts in flight (q_j).
+    /// This balancer's attempts in flight at the upstream, called q_j in `capacity.rs`.
     pub(crate) in_flight: u32,
-    /// Those of them that are overdue.
+    /// The overdue ones among the attempts in flight.
     pub(crate) overdue_attempts: u32,
-    /// Attempts given up that the upstream may still be executing, decaying over the shortest latency
-    /// objective.
+    /// Attempts that this balancer has given up and that the upstream may still be executing. The number
+    /// decays exponentially, with the shortest latency objective as its time constant.
     pub(crate) abandoned_attempts: f64,
-    /// When an attempt was last sent to it or ended.
+    /// When an attempt was last sent to the upstream or ended; [`Timestamp::ZERO`] before the first attempt.
     pub(crate) last_used_at: Timestamp,
     pub(crate) reported_load: ReportedLoad,
     pub(crate) known_start: KnownStart,
     pub(crate) slow_start: SlowStart,
     pub(crate) relative_latency: RelativeLatency,
     pub(crate) outlier: OutlierState,
-    pub(crate) rotation: Rotation,
-    /// It belongs to the subset that takes requests.
+    pub(crate) rotation: RotationState,
+    /// Whether the upstream is a member of the subset that takes requests.
     pub(crate) in_subset: bool,
-    /// It is new, restarted or back from an ejection since the subset was last selected.
+    /// Whether the upstream was added, restarted or ejected for all classes, and the subset has not been
+    /// selected since then with the upstream usable. Such an upstream joins the subset if it is in this
+    /// balancer's part of the selection order.
     pub(crate) awaits_selection: bool,
 }
 
 impl Upstream {
-    /// An upstream of which only the id and the start are known.
+    /// Creates an upstream with an id and a process start; all else is unknown until its list entry is
+    /// applied.
     pub(crate) fn new(
         id: UpstreamId,
         known_start: KnownStart,
@@ -64,36 +69,39 @@
             slow_start,
             relative_latency: RelativeLatency::default(),
             outlier: OutlierState::new(class_count),
-            rotation: Rotation::default(),
+            rotation: RotationState::default(),
             in_subset: false,
             awaits_selection: false,
         }
     }
 
-    /// Whether the endpoint list says that it takes requests.
+    /// Returns whether the endpoint list states that the upstream takes requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.availability == Availability::Ready
     }
 
-    /// Whether nothing more is to be expected of it, so that its state can be dropped.
-    pub(crate) fn is_gone(&self) -> bool {
+    /// Returns whether the state can be dropped: the upstream is removed and has no attempt in flight.
+    pub(crate) fn can_be_dropped(&self) -> bool {
         self.availability == Availability::Removed && self.in_flight == 0
     }
 
-    /// Estimated requests in flight, this balancer's own and reported ones, divided by its present capacity.
+    /// Returns the estimated number of requests in flight, divided by the relative capacity. It includes
+    /// this balancer's attempts, with a surcharge for overdue ones, and the reported requests of other
+    /// balancers.
     pub(crate) fn estimated_load(&self, now: Timestamp) -> f64 {
         let own = f64::from(self.in_flight) + OVERDUE_ATTEMPT_EXTRA_LOAD * f64::from(self.overdue_attempts);
         let reported = self.reported_load.decayed_in_flight(now);
-        (own + self.abandoned_attempts + reported) / self.rotation.capacity
+        (own + self.abandoned_attempts + reported) / self.rotation.relative_capacity
     }
 
-    /// How long no attempt was sent to it or in flight, which is how long its connections have been idle.
+    /// Returns how many seconds the connections to the upstream have been idle: the time since an attempt
+    /// was last sent or ended. It is 0 while an attempt is in flight, and before the first attempt.
     pub(crate) fn idle_seconds(&self, now: Timestamp) -> f64 {
         let was_used = self.last_used_at > Timestamp::ZERO;
         if self.in_flight > 0 || !was_used { 0.0 } else { now - self.last_used_at }
     }
 
-    /// Counts an attempt that is being sent to it.
+    /// Records that an attempt is being sent to the upstream.
     pub(crate) fn record_attempt_sent(&mut self, now: Timestamp) {
         self.last_used_at = now;
         self.in_flight += 1;
--- a/crates/core/src/upstreams/upstream_list.rs
+++ b/crates/core/src/upstreams/upstream_list.rs
@@ -1,45 +1,46 @@
-//! The list of all known upstreams, and the positions by which its entries are found.
+//! The list of all known upstreams, and the positions that identify its elements.
 
 use crate::upstreams::Upstream;
 use std::ops::{Index, IndexMut};
 
-/// The position of an upstream in an [`UpstreamList`]. Valid until upstreams are dropped from the list.
+/// The position of an upstream in an [`UpstreamList`]. It becomes invalid when upstreams are dropped from
+/// the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UpstreamPosition(usize);
 
-/// Upstreams in the order in which they became known.
+/// A list of upstreams in the order in which they were first listed.
 #[derive(Default)]
 pub(crate) struct UpstreamList {
     upstreams: Vec<Upstream>,
 }
 
 impl UpstreamList {
-    /// Number of upstreams.
+    /// Returns the number of upstreams.
     pub(crate) fn len(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Whether there is no upstream.
+    /// Returns whether the list is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.upstreams.is_empty()
     }
 
-    /// All upstreams.
+    /// Returns an iterator over all upstreams.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.iter()
     }
 
-    /// All upstreams, to be changed.
+    /// Returns an iterator over mutable references to all upstreams.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Upstream> {
         self.upstreams.iter_mut()
     }
 
-    /// All positions, in order.
+    /// Returns all positions in order.
     pub(crate) fn positions(&self) -> impl Iterator<Item = UpstreamPosition> + use<> {
         (0..self.upstreams.len()).map(UpstreamPosition)
     }
 
-    /// All positions once, in order from the one that `start` stands for; larger numbers wrap.
+    /// Returns every position once, in order, beginning at `start` modulo the number of upstreams.
     pub(crate) fn positions_from(&self, start: usize) -> impl Iterator<Item = UpstreamPosition> + use<> {
         let count = self.upstreams.len();
         (0..count).map(move |step| UpstreamPosition((step + start % count) % count))
@@ -51,9 +52,10 @@
         UpstreamPosition(self.upstreams.len() - 1)
     }
 
-    /// Drops the upstreams for which `keeps` returns `false`. Positions may change.
-    pub(crate) fn retain(&mut self, keeps: impl FnMut(&Upstream) -> bool) {
-        self.upstreams.retain(keeps);
+    /// Drops the upstreams for which `should_keep` returns `false`. Positions of the remaining upstreams may
+    /// change.
+    pub(crate) fn retain(&mut self, should_keep: impl FnMut(&Upstream) -> bool) {
+        self.upstreams.retain(should_keep);
     }
 }
 
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -1,4 +1,5 @@
-//! The weights of the upstreams in the rotation: how much each can do now, and how many turns it gets for it.
+//! The weights of the upstreams in the rotation: how much work each upstream can do now, and how many turns
+//! it gets.
 
 use crate::capacity::MIN_UTILIZATION;
 use crate::settings::Settings;
@@ -7,101 +8,108 @@
 use crate::upstreams::load_reports::mean_utilization;
 use crate::upstreams::{Upstream, UpstreamSet};
 
-/// Cross-zone price at which other zones get no ordinary turns; below it they get turns in proportion.
+/// Cross-zone price from which upstreams in other zones get no turns while one in the balancer's own zone
+/// can be used. Below it, their weight decreases linearly with the price. The unit is that of
+/// [`Settings::prices`].
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
-/// Time constant with which the samples of an upstream's relative latency decay.
-const SAMPLE_DECAY_SECONDS: f64 = 10.0;
-/// Samples at the usual latency that the relative latency starts from.
+/// Time constant with which the number of samples behind the relative latency of an upstream decays.
+const RELATIVE_LATENCY_DECAY_SECONDS: f64 = 10.0;
+/// Number of assumed samples with a relative latency of 1, which keep the estimate close to 1 while there
+/// are few real samples.
 const PRIOR_SAMPLES: f64 = 4.0;
-/// The largest relative latency that one sample counts.
+/// Upper limit of the relative latency of a single sample.
 const MAX_RELATIVE_LATENCY_SAMPLE: f64 = 5.0;
-/// The least relative latency that changes the capacity.
+/// Lower limit of the relative latency that the capacity is divided by.
 const MIN_RELATIVE_LATENCY: f64 = 0.25;
-/// The largest relative latency that changes the capacity.
+/// Upper limit of the relative latency that the capacity is divided by.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
-/// The least capacity of an upstream.
-const MIN_CAPACITY: f64 = 1e-3;
-
-/// The place of one upstream in the rotation.
-pub(crate) struct Rotation {
-    /// The work that it can do now, as a share of what the largest upstream can do.
-    pub(crate) capacity: f64,
-    /// The turns that it gets in each round; 0 if it gets none.
+/// Lower limit of the relative capacity of an upstream, which keeps it above zero.
+const MIN_RELATIVE_CAPACITY: f64 = 1e-3;
+
+/// The state of one upstream in the rotation.
+pub(crate) struct RotationState {
+    /// The work that the upstream can do now, relative to a warm upstream of the largest size in the subset.
+    pub(crate) relative_capacity: f64,
+    /// The average number of turns that the upstream gets in each round; 0 if it is not in rotation.
     pub(crate) weight: f64,
-    /// Turns that it has accumulated and not taken.
+    /// Turns that the upstream has accumulated and not taken; a turn can be taken from 1 on.
     pub(crate) turn_credit: f64,
 }
 
-impl Rotation {
-    /// Whether it gets turns.
+impl RotationState {
+    /// Returns whether the upstream is in rotation.
     pub(crate) fn takes_turns(&self) -> bool {
         self.weight > 0.0
     }
 }
 
-impl Default for Rotation {
-    /// No turns yet.
+impl Default for RotationState {
+    /// Returns the state of an upstream that is not in rotation.
     fn default() -> Self {
-        Self { capacity: 1.0, weight: 0.0, turn_credit: 0.0 }
+        Self { relative_capacity: 1.0, weight: 0.0, turn_credit: 0.0 }
     }
 }
 
-/// The latency of one upstream in relation to the mean of each class.
+/// The mean latency of attempts at one upstream, relative to the mean latency of their classes at all
+/// upstreams.
 #[derive(Default)]
 pub(crate) struct RelativeLatency {
     mean: f64,
-    /// Samples behind the mean, decaying.
-    samples: f64,
+    /// Number of samples that the mean stands for. It decays, so that new samples keep their influence.
+    effective_samples: f64,
 }
 
 impl RelativeLatency {
-    /// Records the latency of one attempt in relation to the mean of its class.
+    /// Records one attempt. `ratio` is its latency divided by the mean latency of its class.
     pub(crate) fn record(&mut self, ratio: f64) {
         let ratio = ratio.min(MAX_RELATIVE_LATENCY_SAMPLE);
-        self.samples += 1.0;
-        self.mean += (ratio - self.mean) / self.samples;
+        self.effective_samples += 1.0;
+        self.mean += (ratio - self.mean) / self.effective_samples;
     }
 
-    /// The mean, drawn towards 1 while there are few samples.
+    /// Returns the mean, pulled towards 1 by [`PRIOR_SAMPLES`] assumed samples.
     fn estimate(&self) -> f64 {
-        (self.mean * self.samples + PRIOR_SAMPLES) / (self.samples + PRIOR_SAMPLES)
+        (self.mean * self.effective_samples + PRIOR_SAMPLES) / (self.effective_samples + PRIOR_SAMPLES)
     }
 }
 
-/// What the weights depend on besides the upstreams.
+/// The values outside the set of upstreams that the weights depend on.
 pub(crate) struct WeightInputs<'a> {
     pub(crate) now: Timestamp,
-    /// Seconds since the weights were last updated by a tick.
+    /// Seconds since the last tick, or 0 for an update after a change of the subset or the endpoint list.
     pub(crate) elapsed: f64,
     pub(crate) settings: &'a Settings,
-    /// Completion rate per unit of rotation weight, in requests per second.
+    /// Estimated completion rate of the upstreams for each unit of rotation weight, in requests per second.
     pub(crate) rate: f64,
-    /// Requests per second that the quotas let this balancer expect.
+    /// Rate that this balancer expects by the quotas of the tenants, in requests per second.
     pub(crate) expected_rate: f64,
 }
 
-/// What the weight of one upstream depends on in the others.
+/// Values of the whole subset that the weight of each of its upstreams depends on.
 struct SubsetSummary {
+    /// Largest size of an upstream in the subset.
     largest_size: f64,
-    /// So many upstreams are ejected that those ejected entirely take requests again.
+    /// Whether so many upstreams are ejected for all classes that the ejections are ignored. See
+    /// [`MAX_EJECTED_SHARE`].
     ignores_ejections: bool,
-    /// An upstream of this balancer's zone takes requests.
+    /// Whether an upstream in this balancer's zone is ready and not ejected for all classes.
     own_zone_is_usable: bool,
-    /// Mean of the reported utilizations; 1 where none is reported.
+    /// Mean of the reported utilizations, at least [`MIN_UTILIZATION`]; 1 if none is reported.
     mean_utilization: f64,
 }
 
 impl UpstreamSet {
-    /// For each member of the subset, lets the statistics decay, follows the reported utilization and updates
-    /// capacity and weight; then refills the budgets of those in slow start.
+    /// Updates the weights of all members of the subset: adjusts the members in slow start to their reported
+    /// utilization, applies the decay of the statistics, and computes relative capacity and weight. Then
+    /// refills the request budgets of the members in slow start.
     pub(crate) fn update_weights(&mut self, inputs: &WeightInputs<'_>) {
         let summary = self.summarize(inputs);
-        let sample_decay = (-inputs.elapsed / SAMPLE_DECAY_SECONDS).exp();
+        let sample_decay = (-inputs.elapsed / RELATIVE_LATENCY_DECAY_SECONDS).exp();
         let abandoned_decay = (-inputs.elapsed / shortest_latency_objective(inputs.settings)).exp();
         for position in &self.subset {
             let upstream = &mut self.upstreams[*position];
             let utilization = upstream.reported_load.valid_utilization(inputs.now);
-            upstream.slow_start.follow_utilization(
+            upstream.slow_start.adjust_capacity_scale(
                 inputs.elapsed,
                 utilization,
                 summary.mean_utilization,
@@ -113,11 +121,11 @@
         self.refill_slow_start_budgets(inputs);
     }
 
-    /// Lets the abandoned attempts of the upstreams outside the subset decay up to now. The ticks do that for
-    /// the members only.
+    /// Applies the decay up to `now` of the abandoned attempts at upstreams outside the subset. The ticks
+    /// apply it to members of the subset only.
     pub(crate) fn decay_abandoned_outside_subset(&mut self, now: Timestamp, settings: &Settings) {
-        let elapsed = now - self.outside_decayed_at;
-        self.outside_decayed_at = now;
+        let elapsed = now - self.outside_subset_decayed_at;
+        self.outside_subset_decayed_at = now;
         let factor = (-elapsed / shortest_latency_objective(settings)).exp();
         for upstream in self.upstreams.iter_mut().filter(|upstream| !upstream.in_subset) {
             upstream.abandoned_attempts *= factor;
@@ -140,8 +148,9 @@
         }
     }
 
-    /// Where few requests are served, the rate that the quotas promise counts: otherwise few turns would lead
-    /// to few responses, and these to fewer turns.
+    /// Refills the request budgets of the members in slow start in proportion to the rate of a warm
+    /// upstream. That rate is at least an equal part of the rate expected by the quotas. By the observed
+    /// rate alone, few turns would lead to few responses, which would in turn lead to fewer turns.
     fn refill_slow_start_budgets(&mut self, inputs: &WeightInputs<'_>) {
         let mut warm_count = 0.0;
         let mut warm_weight = 0.0;
@@ -164,9 +173,10 @@
 }
 
 impl Upstream {
-    /// Lets the samples of the relative latency and the abandoned attempts decay by these factors.
+    /// Multiplies the number of samples behind the relative latency by `sample_factor`, and the number of
+    /// abandoned attempts by `abandoned_factor`.
     fn decay_statistics(&mut self, sample_factor: f64, abandoned_factor: f64) {
-        self.relative_latency.samples *= sample_factor;
+        self.relative_latency.effective_samples *= sample_factor;
         self.abandoned_attempts *= abandoned_factor;
     }
 
@@ -175,8 +185,9 @@
             self.relative_latency.estimate().clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
         let warm_up_progress = self.slow_start.update_progress(inputs.now, inputs.settings);
         let relative_size = self.size / summary.largest_size;
-        let capacity = relative_size * warm_up_progress * self.slow_start.capacity_scale() / relative_latency;
-        self.rotation.capacity = capacity.max(MIN_CAPACITY);
+        let relative_capacity =
+            relative_size * warm_up_progress * self.slow_start.capacity_scale() / relative_latency;
+        self.rotation.relative_capacity = relative_capacity.max(MIN_RELATIVE_CAPACITY);
         let is_usable =
             self.is_ready() && (!self.outlier.is_ejected(inputs.now) || summary.ignores_ejections);
         let zone_share = if self.zone == inputs.settings.zone || !summary.own_zone_is_usable {
@@ -184,11 +195,11 @@
         } else {
             (1.0 - inputs.settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0)
         };
-        self.rotation.weight = if is_usable { self.rotation.capacity * zone_share } else { 0.0 };
+        self.rotation.weight = if is_usable { self.rotation.relative_capacity * zone_share } else { 0.0 };
     }
 }
 
-/// The shortest latency objective of all classes, in seconds.
+/// Returns the shortest latency objective of all classes, in seconds.
 fn shortest_latency_objective(settings: &Settings) -> f64 {
     let objectives = settings.classes.iter().map(|class| class.latency_objective.as_secs_f64());
     objectives.fold(f64::INFINITY, f64::min)
