--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -176,7 +176,7 @@
             now: self.now,
             elapsed,
             settings: &self.settings,
-            rate: self.capacity.rate(),
+            rate_per_weight: self.capacity.rate(),
             expected_rate: self.expected_rate,
         });
     }
--- a/crates/core/src/upstreams/load_reports.rs
+++ b/crates/core/src/upstreams/load_reports.rs
@@ -8,7 +8,7 @@
 const IN_FLIGHT_DECAY_SECONDS: f64 = 1.0;
 /// Age in seconds from which a reported utilization is no longer used.
 const UTILIZATION_VALID_SECONDS: f64 = 3.0;
-/// Upper limit to which every value in a load report is clamped.
+/// Upper limit that every value in a load report is clamped to.
 const MAX_REPORTED_VALUE: f64 = 1e4;
 
 /// The load that an upstream reported most recently.
@@ -89,8 +89,8 @@
 }
 
 /// Returns the share of an upstream's requests in flight that is attributed to other balancers. Every
-/// balancer is assumed to have sent an equal part. Subtracting this balancer's own requests would be wrong,
-/// because they are counted now and the report is older.
+/// balancer is assumed to have sent an equal part. Subtracting this balancer's current requests from a
+/// report would not tell what the others sent, because the report is older.
 pub(crate) fn share_of_other_balancers(balancers: u32) -> f64 {
     1.0 - 1.0 / f64::from(balancers.max(1))
 }
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -16,8 +16,9 @@
 /// between, the upstream is ejected for each class. The number is low because the failed attempts of all
 /// balancers add to the queue of a stuck upstream.
 const FAILURES_TO_EJECT: u32 = 2;
-/// Seconds without a served request of a class after which a single failure ejects the upstream for that
-/// class, provided that the class is well within its latency objective elsewhere.
+/// Seconds without a served request of a class after which a single failure other than an error response
+/// ejects the upstream for that class, provided that the class is well within its latency objective
+/// elsewhere.
 const UNRESPONSIVE_SECONDS: f64 = 3.0;
 /// Share of the latency objective below which the mean latency of a class is well within the objective. A
 /// higher mean latency can be a sign of overload: then all upstreams are slow, and ejecting some of them
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Returns whether the upstream is ejected for all classes.
+    /// Returns whether the upstream is ejected for all classes because it was unreachable. An upstream that
+    /// is ejected for each class separately does not count.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until > now
     }
@@ -97,7 +99,8 @@
         self.ejected_until
     }
 
-    /// Returns whether the upstream is ejected for a class.
+    /// Returns whether the upstream is ejected for this class in particular. An ejection for all classes
+    /// does not count.
     pub(crate) fn is_ejected_for(&self, class: usize) -> bool {
         self.classes[class].ejected
     }
@@ -130,7 +133,7 @@
         std::mem::take(&mut state.ejected)
     }
 
-    /// Records whether an outcome shows that the upstream is reachable.
+    /// Records whether the outcome of an attempt shows that the upstream is reachable.
     fn record_reachability(&mut self, now: Timestamp, outcome: Outcome) {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Rejected => {
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Returns whether enough connections in a row have failed, for long enough, without a response.
+    /// Returns whether the upstream counts as unreachable: there were [`RESETS_TO_EJECT`] connection resets
+    /// in a row, and it has not responded for [`MIN_UNREACHABLE_SECONDS`].
     fn is_unreachable(&self, now: Timestamp) -> bool {
         self.consecutive_resets >= RESETS_TO_EJECT && now - self.last_response_at > MIN_UNREACHABLE_SECONDS
     }
@@ -217,15 +221,15 @@
         self.is_abandoned() || matches!(self.outcome, Outcome::Rejected | Outcome::Error)
     }
 
-    /// Returns whether the attempt counts as a failure of the upstream for all classes.
+    /// Returns whether the attempt counts as a failure of the upstream whatever its class is.
     fn is_upstream_failure(&self) -> bool {
         self.is_abandoned() || self.outcome == Outcome::Rejected
     }
 }
 
 impl UpstreamSet {
-    /// Records the result of an attempt in the state of its upstream, and ejects the upstream if it is an
-    /// outlier.
+    /// Records the result of an attempt in the state of its upstream, and ejects the upstream if the result
+    /// shows that it is an outlier.
     pub(crate) fn detect_outlier(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -1,8 +1,8 @@
 //! Detects in endpoint lists that the process of an upstream has started, which begins slow start.
 //!
 //! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds
-//! or hours at any time. Such a start is therefore detected by an incarnation that differs from the listed
-//! one before, and slow start is measured on the embedder's monotonic clock. It begins when the list
+//! or hours at any time. Such a start is therefore detected by an incarnation that differs from the one
+//! listed before, and slow start is measured on the embedder's monotonic clock. It begins when the list
 //! arrives, less a small share of its duration that makes up for the delay of the list.
 //!
 //! The lists that a new balancer begins with are the only exception. The wall clock is then the only means
@@ -21,7 +21,7 @@
 /// beginning by no more than this share, for which the request budget in slow start leaves enough room.
 const MAX_DELAY_SHARE: f64 = 0.1;
 
-/// Whether a list is one of those that a balancer begins with.
+/// The kind of an endpoint list: one that a new balancer begins with, or a later one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListKind {
     /// The cached list, or the first list from discovery. The process starts in it can be of any age.
@@ -31,19 +31,19 @@
     Subsequent,
 }
 
-/// The latest process start of an upstream that a list has stated.
+/// The latest process start that a list has stated for an upstream.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct KnownStart {
-    /// The time of the start on the embedder's clock, if a list states it so.
+    /// The time of the start on the embedder's clock; `None` if no list has stated one.
     started_at: Option<Timestamp>,
-    /// The incarnation of the process, if a list states its start by a wall clock.
+    /// The incarnation that lists state for a start by a wall clock; `None` if no list has stated one.
     incarnation: Option<u64>,
 }
 
 impl KnownStart {
-    /// Returns the process start of an upstream that is added to the set, and when its slow start begins;
-    /// `None` if the process started long ago. `set_was_empty` is whether the set had no upstreams before
-    /// this list.
+    /// Returns the process start of an upstream that is added to the set, and when its slow start begins,
+    /// which is `None` if the upstream is assumed to have warmed up already. `set_was_empty` states that the
+    /// set had no upstreams before this list.
     pub(crate) fn for_new_upstream(
         now: Timestamp,
         listed: ProcessStart,
@@ -53,7 +53,7 @@
     ) -> (Self, Option<Timestamp>) {
         let mut known = Self::default();
         let started_at = match listed {
-            // An upstream that is added to a set with other upstreams is assumed to have just started.
+            // An upstream that is added to a set that was not empty is assumed to have just started.
             ProcessStart::LongAgo => (!set_was_empty).then_some(now),
             ProcessStart::At(time) => Some(Timestamp::from_duration(time)),
             ProcessStart::ByWallClock { incarnation, age } => {
--- a/crates/core/src/upstreams/set.rs
+++ b/crates/core/src/upstreams/set.rs
@@ -15,8 +15,8 @@
 
 /// Weight of an upstream whose listed weight is zero, negative or not finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Removed upstreams without attempts in flight are dropped at the latest when they are more than one in
-/// this many of the set.
+/// Removed upstreams without attempts in flight are dropped when they are more than one in this many
+/// upstreams of the set, or earlier when upstreams are added.
 const MAX_DROPPABLE_DIVISOR: usize = 4;
 
 /// All upstreams that this balancer keeps state for, and the subset of them that takes requests. They
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -17,8 +17,9 @@
     /// When slow start began, or will begin at the end of an ejection; `None` once the upstream has warmed
     /// up.
     started_at: Option<Timestamp>,
-    /// Factor by which the capacity in slow start differs from the one that the settings state. It is
-    /// learned from the reported utilization, may be above or below 1, and is 1 outside slow start.
+    /// Ratio of the capacity of the upstream to the capacity that the settings state for this point of slow
+    /// start. It is learned from the reported utilization, may be above or below 1, and is reset to 1 after
+    /// slow start.
     capacity_scale: f64,
     /// Number of requests that the upstream may be sent now. It grows with elapsed time, so that the
     /// requests are limited per second and not only by the turns in the rotation.
@@ -32,7 +33,7 @@
         Self { started_at, capacity_scale: 1.0, budget }
     }
 
-    /// Begins slow start again after a restart of the upstream, without the learned capacity scale.
+    /// Begins slow start again after a restart of the upstream. Discards the learned capacity scale.
     pub(crate) fn restart(&mut self, started_at: Timestamp, budget: f64) {
         *self = Self::new(Some(started_at), budget);
     }
@@ -48,8 +49,8 @@
         self.started_at
     }
 
-    /// Returns whether the upstream is warming up at `now`. The result is valid for upstreams inside and
-    /// outside the subset.
+    /// Returns whether the upstream is warming up at `now`. The result follows from the time alone, so it is
+    /// also valid outside the subset.
     pub(crate) fn is_warming_up(&self, now: Timestamp, settings: &Settings) -> bool {
         let duration = settings.slow_start_duration.as_secs_f64();
         self.started_at.is_some_and(|started_at| now - started_at < duration)
@@ -63,7 +64,8 @@
 
     /// Adjusts the capacity scale so that the utilization of the upstream approaches the mean utilization.
     /// The capacity that the settings state is the least that the upstream has, so the upstream may be used
-    /// as much as the others are. `elapsed` is in seconds; without a reported utilization the scale stays.
+    /// as much as the others are. `elapsed` is in seconds. Without a reported utilization, the scale does
+    /// not change.
     pub(crate) fn adjust_capacity_scale(
         &mut self,
         elapsed: f64,
@@ -98,7 +100,7 @@
         progress
     }
 
-    /// Returns the factor by which the capacity differs from the one that the settings state. It may be
+    /// Returns the ratio of the capacity of the upstream to the capacity that the settings state. It may be
     /// above or below 1.
     pub(crate) fn capacity_scale(&self) -> f64 {
         self.capacity_scale
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Returns whether slow start permits to send the upstream a request now.
+    /// Returns whether slow start allows a request to be sent to the upstream now.
     pub(crate) fn permits_request(&self) -> bool {
         !self.is_active() || self.budget >= 1.0
     }
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -17,16 +17,16 @@
 const MIN_SUBSET_SIZE: f64 = 2.0;
 /// Upper limit of the least subset size that follows from the expected rate.
 const MAX_SUBSET_SIZE: f64 = 1e6;
-/// Average number of subsets that each upstream is in, if that makes the subsets larger than their least
-/// size. The size of a subset is rounded down.
+/// Average number of subsets that each upstream should be in. The subset size that follows from it is
+/// rounded down, and is used if it exceeds the least subset size.
 const TARGET_SUBSETS_PER_UPSTREAM: usize = 4;
-/// Numerator of the fraction of the ready upstreams from which a subset includes all of them. A slightly
-/// smaller subset would reduce the choice of upstreams and save little.
+/// Numerator of a fraction of the ready upstreams. A subset of at least that fraction is extended to all of
+/// them. A slightly smaller subset would reduce the choice of upstreams and save little.
 const FULL_SET_NUMERATOR: usize = 4;
-/// Denominator of the fraction of the ready upstreams from which a subset includes all of them.
+/// Denominator of the fraction that [`FULL_SET_NUMERATOR`] describes.
 const FULL_SET_DENOMINATOR: usize = 5;
-/// Number of bits by which the round is shifted to the left before it is combined with the id of an upstream
-/// to seed the sort key of that upstream.
+/// Left shift, in bits, that moves the round to the upper bits of the seed of an upstream's sort key. The
+/// seed combines the round with the id of the upstream.
 const ROUND_KEY_SHIFT_BITS: u32 = 48;
 
 /// Returns the least subset size of a balancer that expects `expected_rate` requests per second.
--- a/crates/core/src/upstreams/upstream.rs
+++ b/crates/core/src/upstreams/upstream.rs
@@ -13,7 +13,7 @@
 /// counts as. The added load directs requests away from an upstream that may be stuck.
 pub(crate) const OVERDUE_ATTEMPT_EXTRA_LOAD: f64 = 4.0;
 
-/// One upstream. The types of its composite fields belong to the other modules of this folder.
+/// One upstream. The other modules of this folder define the types of its composite fields and update them.
 pub(crate) struct Upstream {
     pub(crate) id: UpstreamId,
     pub(crate) zone: ZoneId,
@@ -39,9 +39,9 @@
     pub(crate) rotation: RotationState,
     /// Whether the upstream is a member of the subset that takes requests.
     pub(crate) in_subset: bool,
-    /// Whether the upstream was added, restarted or ejected for all classes, and the subset has not been
-    /// selected since then with the upstream usable. Such an upstream joins the subset if it is in this
-    /// balancer's part of the selection order.
+    /// Whether the upstream is new, has restarted or has been ejected for all classes, and has not been
+    /// considered since by a selection of the subset at which it was usable. At that selection, it joins the
+    /// subset if it is in this balancer's part of the selection order.
     pub(crate) awaits_selection: bool,
 }
 
@@ -85,9 +85,9 @@
         self.availability == Availability::Removed && self.in_flight == 0
     }
 
-    /// Returns the estimated number of requests in flight, divided by the relative capacity. It includes
-    /// this balancer's attempts, with a surcharge for overdue ones, and the reported requests of other
-    /// balancers.
+    /// Returns the estimated number of requests in flight, divided by the relative capacity. The number
+    /// includes this balancer's attempts, with extra load for overdue ones, its abandoned attempts, and the
+    /// reported requests of other balancers.
     pub(crate) fn estimated_load(&self, now: Timestamp) -> f64 {
         let own = f64::from(self.in_flight) + OVERDUE_ATTEMPT_EXTRA_LOAD * f64::from(self.overdue_attempts);
         let reported = self.reported_load.decayed_in_flight(now);
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -8,9 +8,9 @@
 use crate::upstreams::load_reports::mean_utilization;
 use crate::upstreams::{Upstream, UpstreamSet};
 
-/// Cross-zone price from which upstreams in other zones get no turns while one in the balancer's own zone
-/// can be used. Below it, their weight decreases linearly with the price. The unit is that of
-/// [`Settings::prices`].
+/// Cross-zone price from which upstreams in other zones get no turns in the rotation while one in the
+/// balancer's own zone can be used. Below it, their weight decreases linearly with the price. The unit is
+/// that of [`Settings::prices`].
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 /// Time constant with which the number of samples behind the relative latency of an upstream decays.
 const RELATIVE_LATENCY_DECAY_SECONDS: f64 = 10.0;
@@ -32,7 +32,7 @@
     pub(crate) relative_capacity: f64,
     /// The average number of turns that the upstream gets in each round; 0 if it is not in rotation.
     pub(crate) weight: f64,
-    /// Turns that the upstream has accumulated and not taken; a turn can be taken from 1 on.
+    /// Turns that the upstream has accumulated and not taken. It takes a turn when this is at least 1.
     pub(crate) turn_credit: f64,
 }
 
@@ -80,8 +80,8 @@
     pub(crate) elapsed: f64,
     pub(crate) settings: &'a Settings,
     /// Estimated completion rate of the upstreams for each unit of rotation weight, in requests per second.
-    pub(crate) rate: f64,
-    /// Rate that this balancer expects by the quotas of the tenants, in requests per second.
+    pub(crate) rate_per_weight: f64,
+    /// Rate that this balancer expects according to the quotas of the tenants, in requests per second.
     pub(crate) expected_rate: f64,
 }
 
@@ -104,8 +104,8 @@
     /// refills the request budgets of the members in slow start.
     pub(crate) fn update_weights(&mut self, inputs: &WeightInputs<'_>) {
         let summary = self.summarize(inputs);
-        let sample_decay = (-inputs.elapsed / RELATIVE_LATENCY_DECAY_SECONDS).exp();
-        let abandoned_decay = (-inputs.elapsed / shortest_latency_objective(inputs.settings)).exp();
+        let sample_factor = (-inputs.elapsed / RELATIVE_LATENCY_DECAY_SECONDS).exp();
+        let abandoned_factor = (-inputs.elapsed / shortest_latency_objective_seconds(inputs.settings)).exp();
         for position in &self.subset {
             let upstream = &mut self.upstreams[*position];
             let utilization = upstream.reported_load.valid_utilization(inputs.now);
@@ -115,7 +115,7 @@
                 summary.mean_utilization,
                 inputs.settings,
             );
-            upstream.decay_statistics(sample_decay, abandoned_decay);
+            upstream.decay_statistics(sample_factor, abandoned_factor);
             upstream.update_weight(inputs, &summary);
         }
         self.refill_slow_start_budgets(inputs);
@@ -126,7 +126,7 @@
     pub(crate) fn decay_abandoned_outside_subset(&mut self, now: Timestamp, settings: &Settings) {
         let elapsed = now - self.outside_subset_decayed_at;
         self.outside_subset_decayed_at = now;
-        let factor = (-elapsed / shortest_latency_objective(settings)).exp();
+        let factor = (-elapsed / shortest_latency_objective_seconds(settings)).exp();
         for upstream in self.upstreams.iter_mut().filter(|upstream| !upstream.in_subset) {
             upstream.abandoned_attempts *= factor;
         }
@@ -135,12 +135,12 @@
     fn summarize(&self, inputs: &WeightInputs<'_>) -> SubsetSummary {
         let now = inputs.now;
         let ready = || self.subset_members().filter(|upstream| upstream.is_ready());
-        let ejected = ready().filter(|upstream| upstream.outlier.is_ejected(now)).count() as f64;
+        let ejected_count = ready().filter(|upstream| upstream.outlier.is_ejected(now)).count() as f64;
         let max_ejected = MAX_EJECTED_SHARE * ready().count() as f64;
         let reported_utilization = mean_utilization(self.subset_members(), now);
         SubsetSummary {
             largest_size: self.subset_members().map(|upstream| upstream.size).fold(1e-9, f64::max),
-            ignores_ejections: ejected > max_ejected,
+            ignores_ejections: ejected_count > max_ejected,
             own_zone_is_usable: ready()
                 .any(|upstream| upstream.zone == inputs.settings.zone && !upstream.outlier.is_ejected(now)),
             mean_utilization: reported_utilization
@@ -149,8 +149,9 @@
     }
 
     /// Refills the request budgets of the members in slow start in proportion to the rate of a warm
-    /// upstream. That rate is at least an equal part of the rate expected by the quotas. By the observed
-    /// rate alone, few turns would lead to few responses, which would in turn lead to fewer turns.
+    /// upstream. That rate is at least an equal part of the rate that the quotas let this balancer expect.
+    /// With the observed rate alone, few requests would lead to few responses, and few responses to even
+    /// fewer requests.
     fn refill_slow_start_budgets(&mut self, inputs: &WeightInputs<'_>) {
         let mut warm_count = 0.0;
         let mut warm_weight = 0.0;
@@ -160,8 +161,11 @@
                 warm_count += 1.0;
             }
         }
-        let observed_rate =
-            if warm_count > 0.0 { inputs.rate * warm_weight / warm_count } else { inputs.rate };
+        let observed_rate = if warm_count > 0.0 {
+            inputs.rate_per_weight * warm_weight / warm_count
+        } else {
+            inputs.rate_per_weight
+        };
         let expected_rate = inputs.expected_rate / f64::max(self.subset.len() as f64, 1.0);
         let warm_rate = observed_rate.max(expected_rate);
         for position in &self.subset {
@@ -200,7 +204,7 @@
 }
 
 /// Returns the shortest latency objective of all classes, in seconds.
-fn shortest_latency_objective(settings: &Settings) -> f64 {
+fn shortest_latency_objective_seconds(settings: &Settings) -> f64 {
     let objectives = settings.classes.iter().map(|class| class.latency_objective.as_secs_f64());
     objectives.fold(f64::INFINITY, f64::min)
 }
