--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -53,8 +53,9 @@
     ) -> (Self, Option<Timestamp>) {
         let mut known = Self::default();
         let started_at = match listed {
-            // An upstream that is added to a set that was not empty is assumed to have just started.
-            ProcessStart::LongAgo => (!set_was_empty).then_some(now),
+            // An upstream that is added to a set that was not empty is assumed to have just started. Upstreams
+            // that are added to an empty set are assumed to have warmed up.
+            ProcessStart::Unknown => (!set_was_empty).then_some(now),
             ProcessStart::At(time) => Some(Timestamp::from_duration(time)),
             ProcessStart::ByWallClock { incarnation, age } => {
                 known.incarnation = Some(incarnation);
@@ -75,7 +76,7 @@
         settings: &Settings,
     ) -> Option<Timestamp> {
         let started_at = match listed {
-            ProcessStart::LongAgo => return None,
+            ProcessStart::Unknown => return None,
             ProcessStart::At(time) => {
                 let time = Timestamp::from_duration(time);
                 if self.started_at.is_some_and(|known| time <= known) {
