--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -80,7 +80,7 @@
     /// Number of entries of state: upstreams (removed ones included until they are dropped), requests, and
     /// checks of attempts, which outlive their attempts until they fall due.
     pub fn state_entry_count(&self) -> usize {
-        self.upstreams.entries() + self.requests.entries()
+        self.upstreams.state_entry_count() + self.requests.entries()
     }
 
     /// Handles one event and appends the resulting actions to `actions`. `now` must not be less than at the
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -53,8 +53,8 @@
     ) -> (Self, Option<Timestamp>) {
         let mut known = Self::default();
         let started_at = match listed {
-            // An upstream that is added to a set that was not empty is assumed to have just started. Upstreams
-            // that are added to an empty set are assumed to have warmed up.
+            // An upstream that is added to a set that was not empty is assumed to have just started.
+            // Upstreams that are added to an empty set are assumed to have warmed up.
             ProcessStart::Unknown => (!set_was_empty).then_some(now),
             ProcessStart::At(time) => Some(Timestamp::from_duration(time)),
             ProcessStart::ByWallClock { incarnation, age } => {
--- a/crates/core/src/upstreams/set.rs
+++ b/crates/core/src/upstreams/set.rs
@@ -52,7 +52,7 @@
 
     /// Returns the total number of entries in the collections whose size depends on the number of upstreams,
     /// removed ones included.
-    pub(crate) fn entries(&self) -> usize {
+    pub(crate) fn state_entry_count(&self) -> usize {
         self.upstreams.len() + self.positions.len() + self.removed_starts.len()
     }
 
