--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -23,7 +23,7 @@
 /// Share of the latency objective below which the mean latency of a class is well within the objective. A
 /// higher mean latency can be a sign of overload: then all upstreams are slow, and ejecting some of them
 /// would increase the load on the others.
-const MAX_FAST_SHARE_OF_OBJECTIVE: f64 = 0.5;
+const WELL_WITHIN_OBJECTIVE_SHARE: f64 = 0.5;
 /// Number of consecutive connection resets from which an upstream may count as unreachable. If one
 /// connection in ten breaks, three resets in a row occur every few seconds, so [`MIN_UNREACHABLE_SECONDS`]
 /// is required as well.
@@ -33,8 +33,9 @@
 /// Time without any response that must pass before an upstream counts as unreachable.
 const MIN_UNREACHABLE_SECONDS: f64 = 0.25;
 /// Duration of the first ejection for all classes, and of the wait before the first probe request of a
-/// class. Each further ejection without a success in between doubles the duration, and each further probe
-/// request the wait.
+/// class. Each further ejection without a success in between doubles the duration, up to
+/// [`MAX_EJECTION_DOUBLINGS`] times. Each further probe request doubles the wait, up to
+/// [`MAX_PROBE_DOUBLINGS`] times.
 const BASE_EJECTION_SECONDS: f64 = 1.5;
 /// Largest number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
@@ -44,7 +45,7 @@
 /// Returns whether a class with this mean latency of served attempts is so far below its latency objective
 /// that a slow upstream is an outlier and not a sign of overload. Both times are in seconds.
 pub(crate) fn is_well_within_objective(served_mean_latency: f64, latency_objective: f64) -> bool {
-    served_mean_latency < MAX_FAST_SHARE_OF_OBJECTIVE * latency_objective
+    served_mean_latency < WELL_WITHIN_OBJECTIVE_SHARE * latency_objective
 }
 
 /// The state of outlier detection for one upstream.
@@ -57,7 +58,7 @@
     /// When the upstream last responded, with a success or not.
     last_response_at: Timestamp,
     /// Ejections for all classes since the last success that was not overdue.
-    ejections: u32,
+    consecutive_ejections: u32,
     /// When the latest ejection for all classes ends; [`Timestamp::ZERO`] if there was none.
     ejected_until: Timestamp,
     classes: Vec<ClassOutlierState>,
@@ -82,7 +83,7 @@
             consecutive_failures: 0,
             consecutive_resets: 0,
             last_response_at: Timestamp::DISTANT_PAST,
-            ejections: 0,
+            consecutive_ejections: 0,
             ejected_until: Timestamp::ZERO,
             classes: vec![ClassOutlierState::default(); class_count],
         }
@@ -113,7 +114,7 @@
     /// Clears ejections and failures after a restart of the upstream. Keeps the number of connection resets
     /// and the time of the last response.
     pub(crate) fn clear_after_restart(&mut self) {
-        self.ejections = 0;
+        self.consecutive_ejections = 0;
         self.ejected_until = Timestamp::ZERO;
         self.consecutive_failures = 0;
         self.classes.fill(ClassOutlierState::default());
@@ -129,7 +130,7 @@
         if was_overdue {
             return false;
         }
-        self.ejections = 0;
+        self.consecutive_ejections = 0;
         std::mem::take(&mut state.ejected)
     }
 
@@ -155,9 +156,9 @@
     /// Starts an ejection for all classes.
     fn eject(&mut self, now: Timestamp, random: &mut Random) {
         self.consecutive_resets = 0;
-        let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         let duration = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
-        self.ejections += 1;
+        self.consecutive_ejections += 1;
         self.ejected_until = now + duration * random.jitter();
     }
 }
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -3,7 +3,8 @@
 //! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds
 //! or hours at any time. Such a start is therefore detected by an incarnation that differs from the one
 //! listed before, and slow start is measured on the embedder's monotonic clock. It begins when the list
-//! arrives, less a small share of its duration that makes up for the delay of the list.
+//! arrives, moved back by the delay of the list, which counts up to a small share of the duration of slow
+//! start.
 //!
 //! The lists that a new balancer begins with are the only exception. The wall clock is then the only means
 //! to tell an old start from a recent one, so slow start begins at the stated time.
@@ -16,9 +17,10 @@
 
 /// Largest number of removed upstreams whose process starts are kept.
 const MAX_REMOVED_UPSTREAMS: usize = 4096;
-/// Largest delay of a list that the beginning of slow start is moved back by, as a share of the duration of
-/// slow start. The delay is measured by a wall clock. The limit ensures that a step of that clock moves the
-/// beginning by no more than this share, for which the request budget in slow start leaves enough room.
+/// Largest time by which the beginning of slow start is moved back for the delay of a list, as a share of
+/// the duration of slow start. The delay is the age of the process start by a wall clock. The limit ensures
+/// that a step of that clock moves the beginning by no more than this share, for which the request budget in
+/// slow start leaves enough room.
 const MAX_DELAY_SHARE: f64 = 0.1;
 
 /// The kind of an endpoint list: one that a new balancer begins with, or a later one.
@@ -46,13 +48,13 @@
     /// set had no upstreams before this list.
     pub(crate) fn for_new_upstream(
         now: Timestamp,
-        listed: ProcessStart,
+        listed_start: ProcessStart,
         kind: ListKind,
         set_was_empty: bool,
         settings: &Settings,
     ) -> (Self, Option<Timestamp>) {
         let mut known = Self::default();
-        let started_at = match listed {
+        let started_at = match listed_start {
             // An upstream that is added to a set that was not empty is assumed to have just started.
             // Upstreams that are added to an empty set are assumed to have warmed up.
             ProcessStart::Unknown => (!set_was_empty).then_some(now),
@@ -71,11 +73,11 @@
     pub(crate) fn detect_recent_restart(
         &mut self,
         now: Timestamp,
-        listed: ProcessStart,
+        listed_start: ProcessStart,
         kind: ListKind,
         settings: &Settings,
     ) -> Option<Timestamp> {
-        let started_at = match listed {
+        let started_at = match listed_start {
             ProcessStart::Unknown => return None,
             ProcessStart::At(time) => {
                 let time = Timestamp::from_duration(time);
@@ -97,7 +99,7 @@
 }
 
 /// Returns when slow start begins for a process start that was `age` seconds ago by a wall clock. `now` is
-/// the time at which the list arrived.
+/// the time at which the list arrived. Except for initial lists, the age is limited by [`MAX_DELAY_SHARE`].
 fn wall_clock_start(now: Timestamp, age: f64, kind: ListKind, settings: &Settings) -> Timestamp {
     let max_delay = MAX_DELAY_SHARE * settings.slow_start_duration.as_secs_f64();
     match kind {
@@ -149,10 +151,10 @@
     pub(crate) fn take_if_same_start(
         &mut self,
         id: UpstreamId,
-        listed: ProcessStart,
+        listed_start: ProcessStart,
     ) -> Option<RemovedUpstreamStart> {
         let removed = self.by_id.remove(&id)?;
-        let ProcessStart::ByWallClock { incarnation, .. } = listed else { return None };
+        let ProcessStart::ByWallClock { incarnation, .. } = listed_start else { return None };
         (removed.incarnation == incarnation).then_some(removed)
     }
 }
--- a/crates/core/src/upstreams/set.rs
+++ b/crates/core/src/upstreams/set.rs
@@ -140,7 +140,7 @@
     }
 
     /// Applies an update of the endpoint list. Returns whether the subset has to be selected again, because
-    /// upstreams have changed or their positions may have.
+    /// upstreams or their positions may have changed.
     pub(crate) fn apply_update(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -95,8 +95,9 @@
         random.shuffle(&mut self.subset);
     }
 
-    /// Returns when the first of the current ejections for all classes ends, so that the subset is selected
-    /// again with the upstream concerned, or [`Timestamp::DISTANT_FUTURE`] if there is none.
+    /// Returns when the first of the current ejections for all classes ends, or
+    /// [`Timestamp::DISTANT_FUTURE`] if there is none. The subset is selected again at that time, so that
+    /// the upstream can rejoin it.
     fn end_of_next_ejection(&self, now: Timestamp) -> Timestamp {
         let ends = self.upstreams.iter().map(|upstream| upstream.outlier.ejected_until());
         ends.filter(|end| *end > now).fold(Timestamp::DISTANT_FUTURE, Timestamp::min)
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// The values outside the set of upstreams that the weights depend on.
+/// The inputs of the weights that are not part of the upstream set.
 pub(crate) struct WeightInputs<'a> {
     pub(crate) now: Timestamp,
     /// Seconds since the last tick, or 0 for an update after a change of the subset or the endpoint list.
@@ -85,7 +85,7 @@
     pub(crate) expected_rate: f64,
 }
 
-/// Values of the whole subset that the weight of each of its upstreams depends on.
+/// Properties of the whole subset that the weights of its members depend on.
 struct SubsetSummary {
     /// Largest size of an upstream in the subset.
     largest_size: f64,
