--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -82,7 +82,7 @@
     /// dropped), requests, and scheduled checks of attempts (until they are due, even if the attempt has
     /// ended).
     pub fn state_entry_count(&self) -> usize {
-        self.upstreams.entries() + self.requests.state_entry_count()
+        self.upstreams.state_entry_count() + self.requests.state_entry_count()
     }
 
     /// Handles one event and appends the resulting actions to `actions`. `now` is the time on the embedder's
@@ -181,7 +181,7 @@
             now: self.now,
             elapsed,
             settings: &self.settings,
-            rate: self.capacity.service_rate(),
+            rate_per_weight: self.capacity.service_rate(),
             expected_rate: self.expected_rate,
         });
     }
