--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,9 +1,9 @@
-//! Conversions from the wire's objects to the core's types.
+//! Conversion of the deserialized settings object into the types of `balancer_core`.
 
 use crate::duration::duration_from_ms;
 use crate::error::SettingsParseError;
 use crate::site::{Site, SiteNames};
-use crate::warning::unknown_values;
+use crate::warning::unknown_value_warnings;
 use crate::wire_format::{ClassObject, GoalObject, PricesObject, SettingsObject, TenantObject};
 use balancer_core::{
     DeduplicationScope, LoadField, LoadReporting, Prices, RequestClass, RetrySafety, Settings, Tenant,
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const US_PER_MS: f64 = 1e3;
-/// `limits.try_limit` is capped here: the core counts attempts in a `u8`.
+/// Larger values of `limits.try_limit` are reduced to this one, since the core counts attempts in a `u8`.
 const MAX_ATTEMPTS_CAP: u32 = 250;
 
 impl TryFrom<SettingsObject> for Site {
@@ -20,7 +20,7 @@
 
     fn try_from(object: SettingsObject) -> Result<Self, Self::Error> {
         let settings = Settings::try_from(&object)?;
-        let warnings = unknown_values(&object);
+        let warnings = unknown_value_warnings(&object);
         let names = SiteNames::from(object);
         Ok(Self { settings, names, warnings })
     }
@@ -51,8 +51,8 @@
             classes: object.classes.iter().map(RequestClass::try_from).collect::<Result<_, _>>()?,
             tenants: object.tenants.iter().map(Tenant::from).collect(),
             over_quota_weight: object.over_quota_weight.unwrap_or(default.over_quota_weight),
-            weight_by_work: object.weight_by.as_deref() == Some("work"),
-            // "subscribe": the balancer itself begins each watch.
+            weight_by_work: object.priority_weight_by.as_deref() == Some("work"),
+            // With "subscribe" the balancer itself starts each watch of the endpoint list.
             starts_watches: object.discovery.as_deref() == Some("subscribe"),
             poll_interval: duration_or(guarantees.poll_interval_ms, default.poll_interval),
             slow_start_floor: guarantees.slow_start_floor.unwrap_or(default.slow_start_floor),
@@ -115,7 +115,8 @@
     }
 }
 
-/// Returns the meaning of a value of a load report from its name in the settings or in a load report header.
+/// Returns the meaning of a load report value, given its name in `telemetry.fields` or in a load report
+/// header. An unknown name gives `LoadField::Other`.
 pub fn load_field(name: &str) -> LoadField {
     match name {
         "concurrent" | "inflight" => LoadField::InFlight,
@@ -156,7 +157,8 @@
     }
 }
 
-/// The tolerated ratio applies only where the goal gives tail latency a weight.
+/// Returns the share of requests that may miss the latency objective, or `None` if the goal gives tail
+/// latency no positive weight.
 fn tolerated_miss_ratio(goal: &GoalObject) -> Option<f64> {
     goal.tail_latency_weight.filter(|weight| *weight > 0.0).and(goal.tolerated_miss_ratio)
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,36 +1,36 @@
-//! The errors of parsing a settings object.
+//! Errors that occur while a settings object is parsed.
 
 use thiserror::Error;
 
-/// Why a text is not a settings object.
+/// The reason why a text cannot be parsed as a settings object.
 #[derive(Debug, Error)]
 pub enum SettingsParseError {
-    /// The text is not JSON, or a value has the wrong type. The message names the key.
+    /// The text is not valid JSON, or a value has the wrong type. The message contains the path of the key.
     #[error("settings: {0}")]
     Json(serde_path_to_error::Error<serde_json::Error>),
-    /// The object is followed by something else.
+    /// The text continues after the end of the object.
     #[error("settings: {0}")]
     TrailingText(serde_json::Error),
-    /// The retry safety of a class has an unknown value.
+    /// The `effect` of a class, which states its retry safety, has an unknown value.
     #[error("settings: class {class:?}: unknown effect {value:?}")]
     UnknownRetrySafety {
-        /// The name of the class; may be empty.
+        /// The name of the class; empty if the class has no name.
         class: String,
-        /// The value found.
+        /// The unknown value.
         value: String,
     },
-    /// The deduplication scope of a deduplicated class is missing.
+    /// A class with the effect `deduplicated` has no `dedup_scope`.
     #[error("settings: class {class:?}: dedup_scope is missing")]
     MissingDeduplicationScope {
-        /// The name of the class; may be empty.
+        /// The name of the class; empty if the class has no name.
         class: String,
     },
-    /// The deduplication scope of a deduplicated class has an unknown value.
+    /// The `dedup_scope` of a class with the effect `deduplicated` has an unknown value.
     #[error("settings: class {class:?}: unknown dedup_scope {value:?}")]
     UnknownDeduplicationScope {
-        /// The name of the class; may be empty.
+        /// The name of the class; empty if the class has no name.
         class: String,
-        /// The value found.
+        /// The unknown value.
         value: String,
     },
 }
--- a/crates/settings/src/invalid_settings.rs
+++ b/crates/settings/src/invalid_settings.rs
@@ -1,23 +1,23 @@
-//! Validation errors in the terms of the settings object.
+//! Validation errors that name values by their keys in the settings object.
 
 use balancer_core::{OutOfRange, SettingsError, SettingsField};
 use thiserror::Error;
 
-/// A [`SettingsError`] whose message names the value as the settings object does.
+/// A [`SettingsError`] whose message names the invalid value by its key in the settings object.
 #[derive(Debug, Error)]
-#[error("{}", message(.0))]
+#[error("{}", format_message(.0))]
 pub struct InvalidSettings(pub SettingsError);
 
-fn message(error: &SettingsError) -> String {
+fn format_message(error: &SettingsError) -> String {
     match error {
         SettingsError::OutOfRange(OutOfRange { field, value, allowed }) => {
-            format!("settings: {} is {value}, allowed is {allowed}", wire_name(*field))
+            format!("settings: {} is {value}, allowed is {allowed}", settings_key(*field))
         }
         SettingsError::NoClasses | SettingsError::NoBalancers => error.to_string(),
     }
 }
 
-fn wire_name(field: SettingsField) -> &'static str {
+fn settings_key(field: SettingsField) -> &'static str {
     match field {
         SettingsField::MaxAttempts => "limits.try_limit",
         SettingsField::Index => "me",
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,13 @@
-//! Parses the settings object that the simulator's wire and the platform's configuration share, a JSON
-//! object, into the typed [`balancer_core::Settings`].
+//! Parser for the settings object, a JSON object that is part of both the simulator's wire format and the
+//! proxy's configuration file. The result contains the typed [`balancer_core::Settings`].
 //!
-//! Unknown keys are ignored. A missing key takes the value of `Settings::default()`, except for
-//! `weight_kind`: without it weights are ignored. `null` stands for a missing key where the field is
-//! optional; in any other field it is an error. An unknown value of `discovery`, `worth_by`, `weight_kind` or
-//! `telemetry.how` counts as absent, and a [`SettingsWarning`] says so; an unknown load report field becomes `LoadField::Other`.
+//! - Unknown keys are ignored.
+//! - A missing key takes its value from `Settings::default()`, and a missing key of a class from
+//!   `RequestClass::default()`. The exception is `weight_kind`: without it, endpoint weights are ignored.
+//! - `null` counts as a missing key where the field is optional. In any other field it is an error.
+//! - An unknown value of `discovery`, `worth_by`, `weight_kind` or `telemetry.how` counts as a missing key,
+//!   and a [`SettingsWarning`] reports it.
+//! - An unknown name in `telemetry.fields` becomes `LoadField::Other`.
 
 mod conversion;
 mod duration;
@@ -21,11 +24,11 @@
 pub use site::{Site, SiteNames};
 pub use warning::SettingsWarning;
 
-/// Parses a settings object.
+/// Parses a settings object from its JSON text.
 ///
-/// Fails if the text is not such an object, if a class names an unknown retry safety, or if a deduplicated
-/// class names no or an unknown deduplication scope. Ranges are not checked here:
-/// [`balancer_core::Balancer::new`] does that.
+/// Returns an error if the text is not exactly one settings object, if the `effect` of a class is unknown,
+/// or if the `dedup_scope` of a class with the effect `deduplicated` is missing or unknown. The ranges of
+/// values are not checked here but by [`balancer_core::Balancer::new`].
 pub fn parse(text: &str) -> Result<Site, SettingsParseError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let object: wire_format::SettingsObject =
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -3,26 +3,28 @@
 use crate::warning::SettingsWarning;
 use balancer_core::Settings;
 
-/// The typed settings of a site, with the names that their indices stand for.
+/// The parsed settings of one deployment, with the names that its settings refer to by index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     /// The settings of the balancer.
     pub settings: Settings,
-    /// The names of classes, tenants, zones and hardware.
+    /// The names of request classes, tenants, zones and hardware models.
     pub names: SiteNames,
-    /// What the author of the settings has to know of.
+    /// Warnings about values that are unknown and were replaced by their defaults.
     pub warnings: Vec<SettingsWarning>,
 }
 
-/// Names by index: classes and tenants in the order of [`Settings`], zones and hardware by their ids.
+/// The names of request classes, tenants, zones and hardware models. The position of a name in its list is
+/// the id that requests and endpoint lists use for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteNames {
-    /// The request classes.
+    /// Names of the request classes, in the order of [`Settings::classes`]. A class without a name has an
+    /// empty one.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// Names of the tenants, in the order of [`Settings::tenants`]. A tenant without a name has an empty one.
     pub tenants: Vec<String>,
-    /// The failure domains.
+    /// Names of the zones (failure domains), indexed by `ZoneId`.
     pub zones: Vec<String>,
-    /// The kinds of hardware.
+    /// Names of the hardware models, indexed by `HardwareId`.
     pub hardware: Vec<String>,
 }
--- a/crates/settings/src/wire_format.rs
+++ b/crates/settings/src/wire_format.rs
@@ -1,12 +1,12 @@
-//! The settings object as it stands on the wire. Fields carry the names of [`balancer_core::Settings`];
-//! `rename` states the key where it differs.
+//! The serialized form of the settings object. Fields are named as in [`balancer_core::Settings`]; where the
+//! JSON key differs, a `rename` attribute states it.
 //!
-//! `None` stands for a missing key or `null`; `conversion` fills in the default. In a field that is not an
-//! `Option`, `null` is an error.
+//! `None` stands for a missing key or `null`; the module `conversion` replaces it with the default. In a
+//! field that is not an `Option`, `null` is an error.
 
 use serde::Deserialize;
 
-/// The whole object.
+/// The complete settings object.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct SettingsObject {
@@ -32,10 +32,10 @@
     pub telemetry: TelemetryObject,
     pub weight_kind: Option<String>,
     #[serde(rename = "worth_by")]
-    pub weight_by: Option<String>,
+    pub priority_weight_by: Option<String>,
 }
 
-/// The weights of the parts of the goal, as far as they are used here.
+/// The `goal` object, without the keys that the balancer does not use.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct GoalObject {
@@ -45,7 +45,7 @@
     pub tolerated_miss_ratio: Option<f64>,
 }
 
-/// A request class.
+/// A request class, an element of `classes`.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct ClassObject {
@@ -70,7 +70,7 @@
 }
 
 impl Default for ClassObject {
-    /// The values of `RequestClass::default()`.
+    /// Returns the serialized form of `RequestClass::default()`.
     fn default() -> Self {
         Self {
             latency_objective_ms: 1000.0,
@@ -87,7 +87,7 @@
     }
 }
 
-/// A tenant.
+/// A tenant, an element of `parties`.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct TenantObject {
@@ -96,7 +96,7 @@
     pub name: String,
 }
 
-/// The figures of the rules on discovery and slow start.
+/// The `guarantees` object: the parameters of polling, slow start and overload during slow start.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct GuaranteesObject {
@@ -112,7 +112,7 @@
     pub overload_duration_ms: Option<f64>,
 }
 
-/// What the site permits.
+/// The `limits` object: limits of the deployment, and which optional features it permits.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct LimitsObject {
@@ -133,7 +133,7 @@
     pub hedging: Option<bool>,
 }
 
-/// What actions cost.
+/// The `prices` object: the costs of actions, in the units of [`balancer_core::Prices`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PricesObject {
@@ -148,7 +148,7 @@
     pub wasted_work: f64,
 }
 
-/// How upstreams report their load, and what a report holds.
+/// The `telemetry` object: how upstreams report their load, and which values a report contains.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct TelemetryObject {
--- a/crates/settings/tests/defaults.rs
+++ b/crates/settings/tests/defaults.rs
@@ -1,11 +1,11 @@
-//! The values of keys that a settings object leaves out, and of times out of range.
+//! Defaults for missing keys, `null` and unknown values, and the conversion of durations out of range.
 
 use balancer_core::{RequestClass, Settings, Tenant, WeightKind};
 use balancer_settings::{SiteNames, duration_from_ms, parse};
 use std::time::Duration;
 
 #[test]
-fn an_empty_object_gives_the_default_settings_without_weights() {
+fn an_empty_object_gives_the_default_settings_with_weights_ignored() {
     let site = parse("{}").expect("an empty object is valid");
 
     assert_eq!(site.settings, Settings { weight_kind: WeightKind::Ignored, ..Settings::default() });
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn null_stands_for_a_missing_value() {
+fn null_counts_as_a_missing_key() {
     let text = r#"{"balancers": null, "over_share_worth": null, "guarantees": {"cold_ms": null},
         "limits": {"try_limit": null, "conn_idle_ms": null}}"#;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_unknown_value_of_an_enumerated_key_counts_as_absent() {
+fn an_unknown_value_of_an_enumerated_key_counts_as_a_missing_key() {
     for text in [
         r#"{"discovery": "unheard"}"#,
         r#"{"worth_by": "unheard"}"#,
@@ -32,13 +32,13 @@
     ] {
         let site = parse(text).expect("an unknown value is valid");
 
-        let absent = parse("{}").expect("an empty object is valid");
-        assert_eq!((site.settings, site.names), (absent.settings, absent.names), "{text}");
+        let defaults = parse("{}").expect("an empty object is valid");
+        assert_eq!((site.settings, site.names), (defaults.settings, defaults.names), "{text}");
     }
 }
 
 #[test]
-fn an_empty_class_is_the_default_class() {
+fn an_empty_class_has_the_default_values() {
     let site = parse(r#"{"classes": [{}]}"#).expect("an empty class is valid");
 
     assert_eq!(site.settings.classes, [RequestClass::default()]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn milliseconds_out_of_range_become_the_nearest_duration() {
+fn milliseconds_out_of_range_are_clamped_to_the_range_of_a_duration() {
     assert_eq!(duration_from_ms(1.5), Duration::from_micros(1500));
     assert_eq!(duration_from_ms(0.0), Duration::ZERO);
     assert_eq!(duration_from_ms(-1.0), Duration::ZERO);
@@ -63,9 +63,9 @@
     assert_eq!(duration_from_ms(1e300), Duration::MAX);
 }
 
-/// A misspelt value must not change the behaviour without a word.
+/// A misspelt value that changes the behaviour must not go unreported.
 #[test]
-fn an_unknown_value_of_an_enumerated_key_is_told_with_what_is_used_instead() {
+fn an_unknown_value_of_an_enumerated_key_is_reported_with_its_replacement() {
     for (text, expected) in [
         (
             r#"{"discovery": "pushed"}"#,
--- a/crates/settings/tests/mapping.rs
+++ b/crates/settings/tests/mapping.rs
@@ -1,4 +1,4 @@
-//! Every key of the settings object arrives in its field.
+//! Each key of the settings object is mapped to its field in [`Settings`], each known value to its meaning.
 
 use balancer_core::{
     DeduplicationScope, LoadField, LoadReporting, Prices, RequestClass, RetrySafety, Settings, Tenant,
@@ -7,8 +7,8 @@
 use balancer_settings::{SiteNames, load_field, parse};
 use std::time::Duration;
 
-/// Every key that is used, each number with a value of its own.
-const EVERY_KEY: &str = r#"{
+/// A settings object with every known key. All numbers differ, so that mixed-up fields are noticed.
+const OBJECT_WITH_EVERY_KEY: &str = r#"{
     "balancers": 7,
     "me": 3,
     "goal": {"slow_end": 0.41, "tail_miss": 0.42},
@@ -101,20 +101,20 @@
     }
 }
 
-fn settings_of(text: &str) -> Settings {
+fn parsed_settings(text: &str) -> Settings {
     parse(text).expect("the settings object is valid").settings
 }
 
 #[test]
-fn every_key_arrives_in_its_field() {
-    let site = parse(EVERY_KEY).expect("the settings object is valid");
+fn every_key_is_mapped_to_its_field() {
+    let site = parse(OBJECT_WITH_EVERY_KEY).expect("the settings object is valid");
 
     assert_eq!(site.settings, expected_settings());
 }
 
 #[test]
-fn names_keep_their_positions() {
-    let site = parse(EVERY_KEY).expect("the settings object is valid");
+fn names_keep_their_order() {
+    let site = parse(OBJECT_WITH_EVERY_KEY).expect("the settings object is valid");
 
     let expected = SiteNames {
         classes: vec!["booking".into(), "deposit".into()],
@@ -128,13 +128,13 @@
 #[test]
 fn unknown_keys_are_ignored() {
     let settings =
-        settings_of(r#"{"extra": {"warm_keys": true}, "clients": {"marks_retry": false}, "tier": 4}"#);
+        parsed_settings(r#"{"extra": {"warm_keys": true}, "clients": {"marks_retry": false}, "tier": 4}"#);
 
-    assert_eq!(settings, settings_of("{}"));
+    assert_eq!(settings, parsed_settings("{}"));
 }
 
 #[test]
-fn each_retry_safety_and_scope_is_known() {
+fn each_effect_and_dedup_scope_is_known() {
     let deduplicated = |scope| RetrySafety::Deduplicated { scope, ttl: Duration::from_millis(5) };
     for (class, expected) in [
         (r#""effect": "idempotent""#, RetrySafety::Idempotent),
@@ -143,7 +143,7 @@
         (r#""effect": "deduplicated", "dedup_scope": "zone""#, deduplicated(DeduplicationScope::Zone)),
         (r#""effect": "deduplicated", "dedup_scope": "cell""#, deduplicated(DeduplicationScope::Cell)),
     ] {
-        let settings = settings_of(&format!(r#"{{"classes": [{{"key_ttl_ms": 5, {class}}}]}}"#));
+        let settings = parsed_settings(&format!(r#"{{"classes": [{{"key_ttl_ms": 5, {class}}}]}}"#));
 
         assert_eq!(settings.classes[0].retry_safety, expected, "{class}");
     }
@@ -157,7 +157,7 @@
         ("rough", WeightKind::Size),
         ("live", WeightKind::Live),
     ] {
-        let settings = settings_of(&format!(r#"{{"weight_kind": "{name}"}}"#));
+        let settings = parsed_settings(&format!(r#"{{"weight_kind": "{name}"}}"#));
 
         assert_eq!(settings.weight_kind, expected, "{name}");
     }
@@ -170,15 +170,15 @@
         ("inline", LoadReporting::Inline),
         ("on_probe", LoadReporting::OnHealthCheck),
     ] {
-        let settings = settings_of(&format!(r#"{{"telemetry": {{"how": "{name}"}}}}"#));
+        let settings = parsed_settings(&format!(r#"{{"telemetry": {{"how": "{name}"}}}}"#));
 
         assert_eq!(settings.load_reporting, expected, "{name}");
     }
 }
 
 #[test]
-fn each_value_of_a_load_report_has_a_name_on_the_wire_and_one_in_reports() {
-    for (wire, report, expected) in [
+fn each_load_field_has_a_name_in_the_settings_and_another_in_load_reports() {
+    for (settings_name, report_name, expected) in [
         ("concurrent", "inflight", LoadField::InFlight),
         ("depth", "queue", LoadField::Queue),
         ("load_share", "util", LoadField::Utilization),
@@ -186,28 +186,28 @@
         ("tps", "qps", LoadField::RequestRate),
         ("err_ps", "eps", LoadField::ErrorRate),
     ] {
-        assert_eq!(load_field(wire), expected, "{wire}");
-        assert_eq!(load_field(report), expected, "{report}");
+        assert_eq!(load_field(settings_name), expected, "{settings_name}");
+        assert_eq!(load_field(report_name), expected, "{report_name}");
     }
     assert_eq!(load_field("temperature"), LoadField::Other);
 }
 
 #[test]
-fn the_number_of_attempts_is_capped() {
-    let settings = settings_of(r#"{"limits": {"try_limit": 1000}}"#);
+fn an_attempt_limit_above_250_is_capped() {
+    let settings = parsed_settings(r#"{"limits": {"try_limit": 1000}}"#);
 
     assert_eq!(settings.max_attempts, 250);
 }
 
 #[test]
-fn misses_are_tolerated_only_where_tail_latency_has_a_weight() {
+fn a_tolerated_miss_ratio_applies_only_if_tail_latency_has_a_weight() {
     for (goal, expected) in [
         (r#"{"slow_end": 0.1, "tail_miss": 0.02}"#, Some(0.02)),
         (r#"{"slow_end": 0.0, "tail_miss": 0.02}"#, None),
         (r#"{"tail_miss": 0.02}"#, None),
         (r#"{"slow_end": 0.1}"#, None),
     ] {
-        let settings = settings_of(&format!(r#"{{"goal": {goal}}}"#));
+        let settings = parsed_settings(&format!(r#"{{"goal": {goal}}}"#));
 
         assert_eq!(settings.tolerated_miss_ratio, expected, "{goal}");
     }
