--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,43 +1,43 @@
-//! The codes of the wire format. Events and actions have separate code spaces.
+//! Numeric codes of the wire format. Events and actions have separate code spaces.
 
 use crate::error::WireProblem;
 use balancer_core::{Availability, Outcome, UpdateScope};
 
-/// The highest number of an endpoint list.
+/// The highest number that an endpoint list can have.
 pub const MAX_LIST_NUMBER: u32 = 15;
 
-/// The flag of a request whose expected work is valid.
+/// Flag bit of a request: its work hint is valid.
 pub const EXPECTED_WORK_FLAG: u8 = 1;
-/// The flag of a request that is a client's retry.
+/// Flag bit of a request: it is a retry by the client.
 pub const CLIENT_RETRY_FLAG: u8 = 2;
 
-/// The value that turns a subscription to endpoint updates on.
+/// The value of a `KEEP_INFORMED` action that turns the subscription to endpoint updates on.
 pub const SUBSCRIPTION_ON: u8 = 1;
 
-/// The kind of an event record; each variant's comment gives its name on the wire.
+/// The kind of an event record. The comment on each variant starts with the event's name on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventCode {
-    /// `PEER_DATA`
+    /// Wire name `PEER_DATA`: another instance sent a message.
     PeerMessage,
-    /// `VANISHED`
+    /// Wire name `VANISHED`: the client of a request disconnected.
     ClientDisconnected,
-    /// `OPENED`
+    /// Wire name `OPENED`: a streamed response started.
     StreamStarted,
-    /// `DIRECTORY`
+    /// Wire name `DIRECTORY`: defines a numbered endpoint list, to which endpoint updates refer.
     EndpointList,
-    /// `POWER_ON`
+    /// Wire name `POWER_ON`: starts an instance.
     Start,
-    /// `DEADLINE_HIT`
+    /// Wire name `DEADLINE_HIT`: a timer fired.
     TimerFired,
-    /// `HEALTH`
+    /// Wire name `HEALTH`: a health check ended.
     HealthCheckEnded,
-    /// `DETACH`
+    /// Wire name `DETACH`: kills an instance.
     Kill,
-    /// `FLEET`
+    /// Wire name `FLEET`: an update of the endpoint list arrived, or a call to discovery failed.
     EndpointUpdate,
-    /// `RETURNED`
+    /// Wire name `RETURNED`: an attempt ended.
     AttemptEnded,
-    /// `ASK`
+    /// Wire name `ASK`: a client sent a request.
     RequestArrived,
 }
 
@@ -62,33 +62,33 @@
     }
 }
 
-/// The code of an action record; each variant's comment gives its name on the wire.
+/// The code of an action record. The comment on each variant starts with the action's name on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ActionCode {
-    /// `OVERLOAD_REPLY`
+    /// Wire name `OVERLOAD_REPLY`: rejects a request that the client can safely send again.
     Reject = 65,
-    /// `FAIL`
+    /// Wire name `FAIL`: fails a request that may have been executed.
     Fail = 66,
-    /// `NOTIFY_ME`
+    /// Wire name `NOTIFY_ME`: sets a timer.
     SetTimer = 68,
-    /// `SAY_LOG`
+    /// Wire name `SAY_LOG`: writes a log line.
     Log = 69,
-    /// `LIST_ALL`
+    /// Wire name `LIST_ALL`: fetches the endpoint list once.
     FetchEndpoints = 71,
-    /// `FORWARD`
+    /// Wire name `FORWARD`: sends an attempt to an upstream.
     SendAttempt = 72,
-    /// `KEEP_INFORMED`
+    /// Wire name `KEEP_INFORMED`: starts a watch of the endpoint list.
     WatchEndpoints = 73,
-    /// `HEALTH_CHECK`
+    /// Wire name `HEALTH_CHECK`: checks the health of an upstream.
     CheckHealth = 74,
-    /// `CANCEL`
+    /// Wire name `CANCEL`: cancels an attempt.
     CancelAttempt = 75,
-    /// `CLOSE_IDLE`
+    /// Wire name `CLOSE_IDLE`: closes the idle connections to an upstream.
     CloseIdleConnections = 76,
 }
 
-/// Returns the outcome of an attempt or a health check. Fails on an unknown code.
+/// Returns the outcome of an attempt or a health check, or an error if the code is unknown.
 pub fn outcome_from_code(code: u16) -> Result<Outcome, WireProblem> {
     match code {
         100 => Ok(Outcome::Ok),
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns the availability of an endpoint. Fails on an unknown code.
+/// Returns the availability of an endpoint, or an error if the code is unknown.
 pub fn availability_from_code(code: u8) -> Result<Availability, WireProblem> {
     match code {
         0 => Ok(Availability::Removed),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Returns the scope of an endpoint update. Fails on an unknown code.
+/// Returns the scope of an endpoint update, or an error if the code is unknown.
 pub fn update_scope_from_code(code: u8) -> Result<UpdateScope, WireProblem> {
     match code {
         0 => Ok(UpdateScope::Failed),
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes batches of events.
+//! Decoder for batches of event records.
 
 use crate::codes::{self, EventCode};
 use crate::error::{WireError, WireProblem};
@@ -14,10 +14,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Size of an entry of an endpoint list in bytes.
-const ENTRY_BYTES: usize = 24;
+/// Size of one entry of an endpoint list on the wire.
+const ENDPOINT_ENTRY_BYTES: usize = 24;
 
-/// Decodes a frame, its length field included. Fails at the first malformed field, and names its offset.
+/// Decodes a batch from a frame, which includes the length field. Returns an error with the offset of the
+/// first malformed field.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, WireError> {
     let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
@@ -54,17 +55,17 @@
 
 fn decode_balancer_event(
     reader: &mut FieldReader<'_>,
-    decode: fn(&mut FieldReader<'_>) -> Result<BalancerEvent, WireError>,
+    decode_event: fn(&mut FieldReader<'_>) -> Result<BalancerEvent, WireError>,
 ) -> Result<RecordBody, WireError> {
     let instance = read_instance(reader)?;
-    let event = decode(reader)?;
+    let event = decode_event(reader)?;
     Ok(RecordBody::BalancerEvent { instance, event })
 }
 
 fn decode_endpoint_list(reader: &mut FieldReader<'_>) -> Result<RecordBody, WireError> {
     let offset = reader.offset();
     let number = reader.u32("list number")?;
-    let count = reader.count(ENTRY_BYTES, "number of entries")?;
+    let count = reader.count(ENDPOINT_ENTRY_BYTES, "number of entries")?;
     if number > codes::MAX_LIST_NUMBER {
         return Err(WireProblem::ListNumberOutOfRange(number).at(offset));
     }
@@ -74,7 +75,7 @@
 
 fn decode_endpoint_entry(reader: &mut FieldReader<'_>) -> Result<EndpointEntry, WireError> {
     Ok(EndpointEntry {
-        id: reader.upstream()?,
+        id: reader.upstream_id()?,
         zone: ZoneId(reader.u8("zone")?),
         hardware: HardwareId(reader.u16("kind")?),
         cell: CellId(reader.u16("cell")?),
@@ -89,7 +90,8 @@
     codes::availability_from_code(reader.u8("availability")?).map_err(|problem| problem.at(offset))
 }
 
-/// Reads a start time on the clock of the batches, where zero stands for an unknown one.
+/// Reads the time at which a process started, on the clock of the batches. A value that is not positive
+/// stands for an unknown time.
 fn read_process_start(reader: &mut FieldReader<'_>) -> Result<ProcessStart, WireError> {
     let ms = reader.f64("start time")?;
     let is_known = ms > 0.0;
@@ -120,7 +122,7 @@
 
 fn decode_stream_started(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
     let id = read_request_id(reader)?;
-    reader.upstream()?;
+    reader.upstream_id()?;
     let attempt = read_attempt_index(reader)?;
     let latency = reader.duration("latency")?;
     Ok(BalancerEvent::StreamStarted { id, attempt, latency })
@@ -131,7 +133,7 @@
 }
 
 fn decode_health_check_ended(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
-    let upstream = reader.upstream()?;
+    let upstream = reader.upstream_id()?;
     let latency = reader.duration("latency")?;
     let outcome = read_outcome(reader)?;
     let load_report = read_load_report(reader)?;
@@ -154,7 +156,7 @@
 fn decode_attempt_ended(reader: &mut FieldReader<'_>) -> Result<BalancerEvent, WireError> {
     let id = read_request_id(reader)?;
     let attempt = read_attempt_index(reader)?;
-    let upstream = reader.upstream()?;
+    let upstream = reader.upstream_id()?;
     let outcome = read_outcome(reader)?;
     let latency = reader.duration("latency")?;
     let request_finished = reader.u8("done flag")? != 0;
--- a/crates/simulator-adapter/src/decode/tests.rs
+++ b/crates/simulator-adapter/src/decode/tests.rs
@@ -1,14 +1,16 @@
-//! Each record from the bytes of the wire format, with the examples of its description.
+//! Decoding of each kind of record. The bytes are the examples in the description of the wire format, where
+//! there are any.
 
 use super::*;
 use balancer_core::UpstreamId;
 use std::time::Duration;
 
 const INSTANCE: u32 = 3;
-const FIRST_RECORD: usize = 12;
+const FIRST_RECORD_OFFSET: usize = 12;
 const UPSTREAM: UpstreamId = UpstreamId(0x0a12_4a07_2bc3);
 
-/// A frame at time 15600 ms from the hexadecimal digits of its records; blanks are skipped.
+/// Returns a frame with the clock at 15600 ms and with the given records, which are written in hexadecimal
+/// digits. Whitespace between digits is skipped.
 fn frame(records: &str) -> Vec<u8> {
     let digits: String = records.split_whitespace().collect();
     let records: Vec<u8> = (0..digits.len())
@@ -19,25 +21,25 @@
     [&length.to_be_bytes()[..], &15600f64.to_be_bytes(), &records].concat()
 }
 
-fn decoded(records: &str) -> Vec<RecordBody> {
+fn decoded_bodies(records: &str) -> Vec<RecordBody> {
     let batch = decode_batch(&frame(records)).expect("the batch is valid");
     batch.records.into_iter().map(|record| record.body).collect()
 }
 
 fn decoded_event(record: &str) -> BalancerEvent {
-    let mut bodies = decoded(record);
+    let mut bodies = decoded_bodies(record);
     match (bodies.pop(), bodies.is_empty()) {
         (Some(RecordBody::BalancerEvent { instance: INSTANCE, event }), true) => event,
         other => panic!("not one event for the instance: {other:?}"),
     }
 }
 
-fn error_of(records: &str) -> String {
+fn decode_error(records: &str) -> String {
     decode_batch(&frame(records)).expect_err("the batch is malformed").to_string()
 }
 
 #[test]
-fn an_empty_batch_has_its_clock() {
+fn an_empty_batch_is_decoded_with_its_clock() {
     let bytes = [0, 0, 0, 8, 0x40, 0xc0, 0x6e, 0x20, 0, 0, 0, 0];
 
     let batch = decode_batch(&bytes).expect("the batch is valid");
@@ -49,37 +51,37 @@
 }
 
 #[test]
-fn records_know_their_offsets() {
+fn each_record_has_its_offset_in_the_frame() {
     let batch =
         decode_batch(&frame("06 00000003 0000004d 08 00000003 08 00000004")).expect("the batch is valid");
 
     let offsets: Vec<usize> = batch.records.iter().map(|record| record.offset).collect();
-    assert_eq!(offsets, [FIRST_RECORD, FIRST_RECORD + 9, FIRST_RECORD + 14]);
+    assert_eq!(offsets, [FIRST_RECORD_OFFSET, FIRST_RECORD_OFFSET + 9, FIRST_RECORD_OFFSET + 14]);
 }
 
 #[test]
-fn an_instance_starts_with_its_seed_and_settings() {
-    let bodies = decoded("05 00000003 000000000000002a 00000002 7b7d");
+fn a_start_is_decoded_with_its_seed_and_settings() {
+    let bodies = decoded_bodies("05 00000003 000000000000002a 00000002 7b7d");
 
     assert_eq!(bodies, [RecordBody::Start { instance: INSTANCE, seed: 42, settings: "{}".into() }]);
 }
 
 #[test]
-fn an_instance_is_killed() {
-    assert_eq!(decoded("08 00000003"), [RecordBody::Kill { instance: INSTANCE }]);
+fn a_kill_is_decoded() {
+    assert_eq!(decoded_bodies("08 00000003"), [RecordBody::Kill { instance: INSTANCE }]);
 }
 
 #[test]
-fn a_peer_message_is_skipped() {
-    let bodies = decoded("01 00000003 0002 0004 68692037 08 00000003");
+fn the_content_of_a_peer_message_is_skipped() {
+    let bodies = decoded_bodies("01 00000003 0002 0004 68692037 08 00000003");
 
     let expected = [RecordBody::PeerMessage { instance: INSTANCE }, RecordBody::Kill { instance: INSTANCE }];
     assert_eq!(bodies, expected);
 }
 
 #[test]
-fn an_endpoint_list_has_its_entries() {
-    let bodies = decoded(
+fn an_endpoint_list_is_decoded_with_its_entries() {
+    let bodies = decoded_bodies(
         "04 00000000 00000002
          0a124a07 2bc3 00 0000 0000 01 3f800000 0000000000000000
          0a9011f2 2bec 01 0002 0003 02 3fc00000 40b7d40000000000",
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn an_endpoint_update_names_its_scope_and_list() {
+fn an_endpoint_update_is_decoded_with_its_scope_and_list_number() {
     for (code, scope) in [
         ("00", UpdateScope::Failed),
         ("01", UpdateScope::Snapshot),
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn a_request_has_its_work_hint_and_flags() {
+fn a_request_is_decoded_with_its_work_hint_and_flags() {
     for (flags, expected_work_ms, is_client_retry) in
         [("01", Some(12.0), false), ("02", None, true), ("03", Some(12.0), true), ("04", None, false)]
     {
@@ -142,7 +144,7 @@
 }
 
 #[test]
-fn a_work_hint_that_is_no_amount_of_work_is_absent() {
+fn a_work_hint_that_is_not_positive_and_finite_counts_as_absent() {
     for (name, hint) in
         [("zero", "0000000000000000"), ("infinite", "7ff0000000000000"), ("not a number", "7ff8000000000000")]
     {
@@ -158,7 +160,7 @@
 }
 
 #[test]
-fn a_stream_starts() {
+fn a_stream_start_is_decoded() {
     let event = decoded_event("03 00000003 5d3a91c4 0a124a07 2bc3 01 4022800000000000");
 
     let id = RequestId(0x5d3a_91c4);
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn an_attempt_ends_with_a_load_report() {
+fn an_ended_attempt_is_decoded_with_its_load_report() {
     let event =
         decoded_event("0a 00000003 5d3a91c4 01 0a124a07 2bc3 0064 4032800000000000 01 02 3f1eb852 3f000000");
 
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn a_health_check_ends_with_a_load_report() {
+fn an_ended_health_check_is_decoded_with_its_load_report() {
     let event = decoded_event("07 00000003 0a124a07 2bc3 3ff8000000000000 0130 01 3f000000");
 
     let result = UpstreamResult {
@@ -199,7 +201,7 @@
 }
 
 #[test]
-fn each_outcome_has_its_code() {
+fn each_outcome_code_is_decoded() {
     for (code, outcome) in [
         (100u16, Outcome::Ok),
         (301, Outcome::Error),
@@ -220,19 +222,19 @@
 }
 
 #[test]
-fn a_client_disconnects() {
+fn a_client_disconnect_is_decoded() {
     let event = decoded_event("02 00000003 0e6f2b19");
 
     assert_eq!(event, BalancerEvent::ClientDisconnected { id: RequestId(0x0e6f_2b19) });
 }
 
 #[test]
-fn a_timer_fires() {
+fn a_fired_timer_is_decoded() {
     assert_eq!(decoded_event("06 00000003 0000004d"), BalancerEvent::TimerFired { timer: TimerId(0x4d) });
 }
 
 #[test]
-fn unknown_codes_are_named_with_their_offsets() {
+fn unknown_codes_and_list_numbers_out_of_range_are_reported_with_their_offsets() {
     for (records, message) in [
         ("63", "byte 12: unknown event code 99"),
         ("00", "byte 12: unknown event code 0"),
@@ -244,12 +246,12 @@
         ),
         ("04 00000010 00000000", "byte 13: list number 16 is over 15"),
     ] {
-        assert_eq!(error_of(records), message);
+        assert_eq!(decode_error(records), message);
     }
 }
 
 #[test]
-fn content_that_stops_short_is_named_with_its_offset() {
+fn truncated_content_is_reported_with_its_offset() {
     for (records, message) in [
         ("06 0000", "byte 13: instance needs 4 bytes, 2 are left"),
         ("04 00000000 00000002", "byte 17: number of entries is 2, but only 0 bytes are left"),
@@ -259,13 +261,13 @@
         ),
         ("01 00000003 0002 0004 6869", "byte 21: message needs 4 bytes, 2 are left"),
     ] {
-        assert_eq!(error_of(records), message);
+        assert_eq!(decode_error(records), message);
     }
 }
 
 #[test]
 fn settings_that_are_not_utf8_are_rejected() {
-    let error = error_of("05 00000003 000000000000002a 00000001 ff");
+    let error = decode_error("05 00000003 000000000000002a 00000001 ff");
 
     assert_eq!(error, "byte 29: settings: invalid utf-8 sequence of 1 bytes from index 0");
 }
@@ -277,5 +279,5 @@
 
     let error = decode_batch(&bytes).expect_err("the length is wrong");
 
-    assert_eq!(error.to_string(), "byte 0: length 9 for 8 bytes");
+    assert_eq!(error.to_string(), "byte 0: length is 9, but 8 bytes follow");
 }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes replies of actions.
+//! Encoder for replies, which consist of action records.
 
 use crate::codes::{self, ActionCode};
 use crate::frame::LENGTH_BYTES;
@@ -9,10 +9,11 @@
 mod tests;
 
 const MS_PER_SECOND: f64 = 1e3;
-/// On the wire an absent time is zero. `Some(Duration::ZERO)` is therefore encoded as absent, too.
+/// The encoding of an absent duration. A duration of zero has the same encoding and thus also counts as
+/// absent.
 const ABSENT_MS: f64 = 0.0;
 
-/// A reply frame, whose buffer is reused from batch to batch: [`clear`](Self::clear), then
+/// A reply frame whose buffer is reused. For each batch, call [`clear`](Self::clear), then
 /// [`push`](Self::push) for each action, then [`finish`](Self::finish).
 #[derive(Default)]
 pub struct Reply {
@@ -20,34 +21,34 @@
 }
 
 impl Reply {
-    /// Starts an empty reply.
+    /// Resets the reply to a frame without actions.
     pub fn clear(&mut self) {
         self.frame.clear();
         self.frame.extend([0; LENGTH_BYTES]);
     }
 
-    /// Appends an action of an instance.
+    /// Appends an action that an instance asks for.
     pub fn push(&mut self, instance: u32, action: &Action) {
         match action {
             Action::SendAttempt { id, upstream, timeout } => {
                 self.push_header(ActionCode::SendAttempt, instance);
-                self.push_request(*id);
-                self.push_upstream(*upstream);
+                self.push_request_id(*id);
+                self.push_upstream_id(*upstream);
                 self.push_optional_duration(*timeout);
             }
             Action::CancelAttempt { id, attempt } => {
                 self.push_header(ActionCode::CancelAttempt, instance);
-                self.push_request(*id);
+                self.push_request_id(*id);
                 self.frame.push(attempt.0);
             }
             Action::Reject { id, retry_after, .. } => {
                 self.push_header(ActionCode::Reject, instance);
-                self.push_request(*id);
+                self.push_request_id(*id);
                 self.push_optional_duration(*retry_after);
             }
             Action::Fail { id } => {
                 self.push_header(ActionCode::Fail, instance);
-                self.push_request(*id);
+                self.push_request_id(*id);
             }
             Action::SetTimer { after, timer } => {
                 self.push_header(ActionCode::SetTimer, instance);
@@ -61,11 +62,11 @@
             Action::FetchEndpoints => self.push_header(ActionCode::FetchEndpoints, instance),
             Action::CloseIdleConnections { upstream } => {
                 self.push_header(ActionCode::CloseIdleConnections, instance);
-                self.push_upstream(*upstream);
+                self.push_upstream_id(*upstream);
             }
             Action::CheckHealth { upstream } => {
                 self.push_header(ActionCode::CheckHealth, instance);
-                self.push_upstream(*upstream);
+                self.push_upstream_id(*upstream);
             }
             Action::Log { line } => {
                 self.push_header(ActionCode::Log, instance);
@@ -86,12 +87,12 @@
         self.frame.extend(instance.to_be_bytes());
     }
 
-    fn push_request(&mut self, id: RequestId) {
+    fn push_request_id(&mut self, id: RequestId) {
         self.frame.extend(id.0.to_be_bytes());
     }
 
-    /// The id of an upstream is its address and port: six bytes.
-    fn push_upstream(&mut self, upstream: UpstreamId) {
+    /// Appends the id of an upstream, whose lower six bytes are its IPv4 address and its port.
+    fn push_upstream_id(&mut self, upstream: UpstreamId) {
         let [_, _, address_and_port @ ..] = upstream.0.to_be_bytes();
         self.frame.extend(address_and_port);
     }
@@ -111,7 +112,8 @@
         self.frame.extend(ms.to_be_bytes());
     }
 
-    /// Appends a text, cut to the length that its field can state.
+    /// Appends a text after a length field of two bytes, truncated to the longest length that the field can
+    /// state.
     fn push_text(&mut self, text: &str) {
         let length = text.len().min(usize::from(u16::MAX));
         self.frame.extend((length as u16).to_be_bytes());
--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -1,4 +1,5 @@
-//! Each action in the bytes of the wire format, with the examples of its description where there is one.
+//! Encoding of each kind of action. The bytes are the examples in the description of the wire format, where
+//! there are any.
 
 use super::*;
 use balancer_core::{AttemptIndex, RejectionReason, TimerId};
@@ -6,8 +7,8 @@
 const INSTANCE: u32 = 3;
 const UPSTREAM: UpstreamId = UpstreamId(0x0a12_4a07_2bc3);
 
-/// The hexadecimal digits of a reply without its length field, after a check of that field.
-fn encoded(actions: &[Action]) -> String {
+/// Encodes a reply and returns its hexadecimal digits without the length field, whose value is checked here.
+fn encoded_digits(actions: &[Action]) -> String {
     let mut reply = Reply::default();
     reply.clear();
     for action in actions {
@@ -20,89 +21,92 @@
 }
 
 #[test]
-fn a_reply_without_actions_is_its_length_field() {
-    assert_eq!(encoded(&[]), "");
+fn a_reply_without_actions_has_only_a_length_field() {
+    assert_eq!(encoded_digits(&[]), "");
 }
 
 #[test]
-fn an_attempt_is_sent_with_its_timeout() {
+fn a_sent_attempt_is_encoded_with_its_timeout() {
     let timeout = Some(Duration::from_millis(80));
     let action = Action::SendAttempt { id: RequestId(0x5d3a_91c4), upstream: UPSTREAM, timeout };
 
-    assert_eq!(encoded(&[action]), "48000000035d3a91c40a124a072bc34054000000000000");
+    assert_eq!(encoded_digits(&[action]), "48000000035d3a91c40a124a072bc34054000000000000");
 }
 
 #[test]
-fn a_missing_timeout_is_zero() {
+fn a_missing_timeout_is_encoded_as_zero() {
     let action = Action::SendAttempt { id: RequestId(0x5d3a_91c4), upstream: UPSTREAM, timeout: None };
 
-    assert_eq!(encoded(&[action]), "48000000035d3a91c40a124a072bc30000000000000000");
+    assert_eq!(encoded_digits(&[action]), "48000000035d3a91c40a124a072bc30000000000000000");
 }
 
 #[test]
-fn an_attempt_is_cancelled() {
+fn a_cancelled_attempt_is_encoded() {
     let action = Action::CancelAttempt { id: RequestId(0x5d3a_91c4), attempt: AttemptIndex(2) };
 
-    assert_eq!(encoded(&[action]), "4b000000035d3a91c402");
+    assert_eq!(encoded_digits(&[action]), "4b000000035d3a91c402");
 }
 
 #[test]
-fn a_rejection_has_its_retry_after() {
+fn a_rejection_is_encoded_with_its_retry_after() {
     let retry_after = Some(Duration::from_millis(250));
     let action =
         Action::Reject { id: RequestId(0x0e6f_2b19), retry_after, reason: RejectionReason::OverQuota };
 
-    assert_eq!(encoded(&[action]), "41000000030e6f2b19406f400000000000");
+    assert_eq!(encoded_digits(&[action]), "41000000030e6f2b19406f400000000000");
 }
 
 #[test]
-fn a_rejection_without_advice_has_a_retry_after_of_zero() {
+fn a_missing_retry_after_is_encoded_as_zero() {
     let action =
         Action::Reject { id: RequestId(0x0e6f_2b19), retry_after: None, reason: RejectionReason::NoUpstream };
 
-    assert_eq!(encoded(&[action]), "41000000030e6f2b190000000000000000");
+    assert_eq!(encoded_digits(&[action]), "41000000030e6f2b190000000000000000");
 }
 
 #[test]
-fn a_request_fails() {
-    assert_eq!(encoded(&[Action::Fail { id: RequestId(0x0e6f_2b19) }]), "42000000030e6f2b19");
+fn a_failed_request_is_encoded() {
+    assert_eq!(encoded_digits(&[Action::Fail { id: RequestId(0x0e6f_2b19) }]), "42000000030e6f2b19");
 }
 
 #[test]
-fn a_timer_is_set() {
+fn a_timer_is_encoded_with_its_delay() {
     let action = Action::SetTimer { after: Duration::from_millis(500), timer: TimerId(0x4d) };
 
-    assert_eq!(encoded(&[action]), "4400000003407f4000000000000000004d");
+    assert_eq!(encoded_digits(&[action]), "4400000003407f4000000000000000004d");
 }
 
 #[test]
-fn endpoints_are_watched_and_fetched() {
-    assert_eq!(encoded(&[Action::WatchEndpoints]), "490000000301");
-    assert_eq!(encoded(&[Action::FetchEndpoints]), "4700000003");
+fn a_watch_and_a_fetch_of_endpoints_are_encoded() {
+    assert_eq!(encoded_digits(&[Action::WatchEndpoints]), "490000000301");
+    assert_eq!(encoded_digits(&[Action::FetchEndpoints]), "4700000003");
 }
 
 #[test]
-fn idle_connections_are_closed() {
-    assert_eq!(encoded(&[Action::CloseIdleConnections { upstream: UPSTREAM }]), "4c000000030a124a072bc3");
+fn a_close_of_idle_connections_is_encoded() {
+    assert_eq!(
+        encoded_digits(&[Action::CloseIdleConnections { upstream: UPSTREAM }]),
+        "4c000000030a124a072bc3"
+    );
 }
 
 #[test]
-fn health_is_checked() {
-    assert_eq!(encoded(&[Action::CheckHealth { upstream: UPSTREAM }]), "4a000000030a124a072bc3");
+fn a_health_check_is_encoded() {
+    assert_eq!(encoded_digits(&[Action::CheckHealth { upstream: UPSTREAM }]), "4a000000030a124a072bc3");
 }
 
 #[test]
-fn a_line_is_logged() {
+fn a_log_line_is_encoded() {
     let action = Action::Log { line: "two servers known".into() };
 
-    assert_eq!(encoded(&[action]), "4500000003001174776f2073657276657273206b6e6f776e");
+    assert_eq!(encoded_digits(&[action]), "4500000003001174776f2073657276657273206b6e6f776e");
 }
 
 #[test]
-fn a_line_too_long_for_its_field_is_cut() {
+fn a_log_line_too_long_for_its_length_field_is_truncated() {
     let action = Action::Log { line: "x".repeat(70_000) };
 
-    let digits = encoded(&[action]);
+    let digits = encoded_digits(&[action]);
 
     assert_eq!(digits[10..14], *"ffff");
     assert_eq!(digits.len(), 14 + 2 * 65_535);
@@ -112,5 +116,5 @@
 fn actions_keep_their_order() {
     let fail = |id| Action::Fail { id: RequestId(id) };
 
-    assert_eq!(encoded(&[fail(2), fail(1)]), "420000000300000002420000000300000001");
+    assert_eq!(encoded_digits(&[fail(2), fail(1)]), "420000000300000002420000000300000001");
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,107 +1,107 @@
-//! The errors that end the adapter.
+//! Errors that end the adapter.
 
 use balancer_settings::{InvalidSettings, SettingsParseError};
 use std::io;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Why the adapter ends before its input does.
+/// The reason why the adapter ends before its input does.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// A batch is malformed, or refers to something that does not exist.
+    /// A batch is malformed, or refers to an instance or an endpoint list that does not exist.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// The input ended within a frame.
-    #[error("frame cut short at byte {received}: {expected} expected")]
+    #[error("frame cut short at byte {received}: {expected} bytes expected")]
     TruncatedFrame {
-        /// Bytes of the frame that were received.
+        /// Number of bytes received, with the length field.
         received: usize,
-        /// Bytes that were due.
+        /// Number of bytes expected: the length field or, once it is known, the complete frame.
         expected: usize,
     },
-    /// Standard input or output failed.
+    /// Reading from standard input or writing to standard output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// What is wrong with a batch, and where.
+/// A problem with a batch and its position.
 #[derive(Debug, Error)]
 #[error("byte {offset}: {problem}")]
 pub struct WireError {
-    /// Offset in the frame, the length field included.
+    /// Offset in bytes from the start of the frame, which begins with its length field.
     pub offset: usize,
-    /// What is wrong there.
+    /// The problem at this offset.
     pub problem: WireProblem,
 }
 
-/// What can be wrong with a batch.
+/// The ways in which a batch can be malformed.
 #[derive(Debug, Error)]
 pub enum WireProblem {
-    /// The length field is below the size of the clock or above the size limit.
-    #[error("length {0} fits no batch")]
+    /// The length field is less than the size of the clock or more than the size limit of a frame.
+    #[error("length {0} is out of range")]
     LengthOutOfRange(usize),
-    /// The length field differs from the size of the frame.
-    #[error("length {stated} for {actual} bytes")]
+    /// The length field differs from the number of bytes after it.
+    #[error("length is {stated}, but {actual} bytes follow")]
     LengthMismatch {
-        /// The length field.
+        /// The value of the length field.
         stated: usize,
-        /// Bytes that follow it.
+        /// Number of bytes after the length field.
         actual: usize,
     },
     /// The frame ends within a field.
-    #[error("{field} needs {needed} bytes, {left} are left")]
+    #[error("{field} needs {needed} bytes, {remaining} are left")]
     TruncatedField {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its size in bytes.
+        /// Size of the field in bytes.
         needed: usize,
-        /// Bytes left in the frame.
-        left: usize,
+        /// Number of bytes left in the frame.
+        remaining: usize,
     },
-    /// A count announces more content than the frame holds.
-    #[error("{field} is {count}, but only {left} bytes are left")]
+    /// A count is too large for the rest of the frame.
+    #[error("{field} is {count}, but only {remaining} bytes are left")]
     CountTooLarge {
-        /// The count's field.
+        /// The name of the field with the count.
         field: &'static str,
-        /// Its value.
+        /// The value of the count.
         count: usize,
-        /// Bytes left in the frame.
-        left: usize,
+        /// Number of bytes left in the frame.
+        remaining: usize,
     },
-    /// No event has this code.
+    /// The code of an event is unknown.
     #[error("unknown event code {0}")]
     UnknownEventCode(u8),
-    /// No outcome has this code.
+    /// The code of an outcome is unknown.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
-    /// No availability has this code.
+    /// The code of an availability is unknown.
     #[error("unknown availability {0}")]
     UnknownAvailability(u8),
-    /// No scope of an endpoint update has this code.
+    /// The code of the scope of an endpoint update is unknown.
     #[error("unknown scope {0}")]
     UnknownScope(u8),
-    /// The number of an endpoint list is out of range.
+    /// The number of an endpoint list is above [`MAX_LIST_NUMBER`](crate::codes::MAX_LIST_NUMBER).
     #[error("list number {0} is over {max}", max = crate::codes::MAX_LIST_NUMBER)]
     ListNumberOutOfRange(u32),
-    /// An endpoint update refers to a list that was never defined.
-    #[error("no list has number {0}")]
+    /// An endpoint update refers to a list number that has not been defined.
+    #[error("endpoint list {0} is not defined")]
     UndefinedList(u32),
-    /// An event is addressed to an instance that does not run.
-    #[error("instance {0} was never started")]
+    /// An event is addressed to an instance that is not running.
+    #[error("instance {0} is not running")]
     UnknownInstance(u32),
-    /// The settings are not UTF-8.
+    /// The settings are not valid UTF-8.
     #[error("settings: {0}")]
     SettingsEncoding(Utf8Error),
     /// The settings cannot be parsed.
     #[error(transparent)]
     SettingsParse(#[from] SettingsParseError),
-    /// No balancer can run with the settings.
+    /// A value in the settings is invalid.
     #[error(transparent)]
     InvalidSettings(#[from] InvalidSettings),
 }
 
 impl WireProblem {
-    /// Adds where the problem is.
+    /// Returns an error that states the offset of this problem.
     pub fn at(self, offset: usize) -> WireError {
         WireError { offset, problem: self }
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the balancers of all instances.
+//! Runs the balancers of all instances and collects their actions.
 
 use crate::error::{WireError, WireProblem};
 use crate::record::{BalancerEvent, Record, RecordBody};
@@ -7,39 +7,40 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The endpoint lists by their numbers.
+/// The endpoint lists, keyed by their numbers.
 type EndpointLists = HashMap<u32, Vec<EndpointEntry>>;
 
-/// The running instances and the actions that they have asked for in this batch.
+/// The balancers of the running instances, the defined endpoint lists, and the actions that wait for the
+/// reply to the current batch.
 #[derive(Default)]
-pub struct Host {
+pub struct InstanceHost {
     instances: HashMap<u32, Balancer>,
     lists: EndpointLists,
-    pending: Vec<InstanceAction>,
-    /// Buffer for the actions of one event.
-    actions: Vec<Action>,
+    pending_actions: Vec<InstanceAction>,
+    /// The actions of the event being delivered. Kept between events to reuse its memory.
+    action_buffer: Vec<Action>,
 }
 
-/// An action of an instance.
+/// An action and the instance that asks for it.
 pub struct InstanceAction {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u32,
-    /// What it asks for.
+    /// The action of its balancer.
     pub action: Action,
 }
 
-impl Host {
+impl InstanceHost {
     /// Applies a record and keeps the resulting actions for the reply.
     ///
-    /// Fails, with the offset of the record, on unusable settings, on an undefined endpoint list and on an
-    /// instance that does not run.
+    /// Returns an error with the offset of the record if its settings are invalid, if it refers to an
+    /// endpoint list that is not defined, or if it is addressed to an instance that is not running.
     pub fn apply(&mut self, now: Duration, record: Record) -> Result<(), WireError> {
         self.apply_body(now, record.body).map_err(|problem| problem.at(record.offset))
     }
 
-    /// Removes and returns the actions since the last call, in order.
+    /// Removes the pending actions and returns them in the order in which the balancers asked for them.
     pub fn drain_actions(&mut self) -> impl Iterator<Item = InstanceAction> {
-        self.pending.drain(..)
+        self.pending_actions.drain(..)
     }
 
     fn apply_body(&mut self, now: Duration, body: RecordBody) -> Result<(), WireProblem> {
@@ -48,18 +49,18 @@
                 self.lists.insert(number, entries);
                 Ok(())
             }
-            RecordBody::Start { instance, seed, settings } => self.start(instance, seed, &settings),
+            RecordBody::Start { instance, seed, settings } => self.start_instance(instance, seed, &settings),
             RecordBody::Kill { instance } => {
                 self.instances.remove(&instance);
                 self.discard_actions(instance);
                 Ok(())
             }
             RecordBody::PeerMessage { instance } => self.require_running(instance),
-            RecordBody::BalancerEvent { instance, event } => self.deliver(now, instance, &event),
+            RecordBody::BalancerEvent { instance, event } => self.deliver_event(now, instance, &event),
         }
     }
 
-    fn start(&mut self, instance: u32, seed: u64, settings: &str) -> Result<(), WireProblem> {
+    fn start_instance(&mut self, instance: u32, seed: u64, settings: &str) -> Result<(), WireProblem> {
         let site = balancer_settings::parse(settings)?;
         let balancer = Balancer::new(site.settings, seed).map_err(InvalidSettings)?;
         self.instances.insert(instance, balancer);
@@ -67,9 +68,10 @@
         Ok(())
     }
 
-    /// Drops the actions of an earlier life: an instance may be killed and started again within one batch.
+    /// Discards the pending actions of an earlier run of this instance, which may be killed and started again
+    /// within one batch.
     fn discard_actions(&mut self, instance: u32) {
-        self.pending.retain(|pending| pending.instance != instance);
+        self.pending_actions.retain(|pending| pending.instance != instance);
     }
 
     fn require_running(&self, instance: u32) -> Result<(), WireProblem> {
@@ -80,18 +82,24 @@
         }
     }
 
-    fn deliver(&mut self, now: Duration, instance: u32, event: &BalancerEvent) -> Result<(), WireProblem> {
+    fn deliver_event(
+        &mut self,
+        now: Duration,
+        instance: u32,
+        event: &BalancerEvent,
+    ) -> Result<(), WireProblem> {
         let event = core_event(event, &self.lists)?;
         let balancer = self.instances.get_mut(&instance).ok_or(WireProblem::UnknownInstance(instance))?;
-        self.actions.clear();
-        balancer.handle(now, event, &mut self.actions);
-        let actions = self.actions.drain(..);
-        self.pending.extend(actions.map(|action| InstanceAction { instance, action }));
+        self.action_buffer.clear();
+        balancer.handle(now, event, &mut self.action_buffer);
+        let actions = self.action_buffer.drain(..);
+        self.pending_actions.extend(actions.map(|action| InstanceAction { instance, action }));
         Ok(())
     }
 }
 
-/// Converts an event to the core's form, which borrows endpoint lists and load reports.
+/// Converts an event to the form of `balancer_core`, which borrows endpoint entries and load reports. Returns
+/// an error if the event refers to an endpoint list that is not defined.
 fn core_event<'a>(event: &'a BalancerEvent, lists: &'a EndpointLists) -> Result<Event<'a>, WireProblem> {
     Ok(match event {
         BalancerEvent::EndpointUpdate { scope, list } => {
@@ -130,7 +138,8 @@
     })
 }
 
-/// Returns the entries of an update. A failed call has none, whatever list it names.
+/// Returns the entries of an endpoint update, or an error if its list is not defined. A failed call to
+/// discovery has no entries, whichever list number it states.
 fn update_entries(
     scope: UpdateScope,
     list: u32,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! `simulator-adapter`: hosts many [`balancer_core::Balancer`]s and speaks the simulator's wire format on
-//! standard input and output.
+//! `simulator-adapter` runs many [`balancer_core::Balancer`]s in one process and connects them to the
+//! simulator, whose wire format it reads from standard input and writes to standard output.
 //!
-//! It only translates; every decision is the library's. Malformed input ends the process with one line on
-//! standard error and exit code 1. No part of the reply to that batch is written; earlier replies stand.
+//! The adapter only translates between the wire format and `balancer_core`, which makes all decisions.
+//! Malformed input ends the process with one line on standard error and exit code 1. The replies to earlier
+//! batches have been written by then; no part of the reply to the malformed batch is written.
 
 mod codes;
 mod decode;
@@ -16,7 +17,7 @@
 use crate::encode::Reply;
 use crate::error::AdapterError;
 use crate::frame::FrameReader;
-use crate::host::Host;
+use crate::host::InstanceHost;
 use std::io::{self, Write};
 use std::process::ExitCode;
 
@@ -30,11 +31,11 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Reads batches and writes one reply to each, until the input ends.
 fn run() -> Result<(), AdapterError> {
     let mut frames = FrameReader::new(io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = Host::default();
+    let mut host = InstanceHost::default();
     let mut reply = Reply::default();
     while let Some(frame) = frames.next_frame()? {
         let batch = decode::decode_batch(frame)?;
@@ -42,8 +43,8 @@
             host.apply(batch.clock, record)?;
         }
         reply.clear();
-        for pending in host.drain_actions() {
-            reply.push(pending.instance, &pending.action);
+        for instance_action in host.drain_actions() {
+            reply.push(instance_action.instance, &instance_action.action);
         }
         output.write_all(reply.finish())?;
         output.flush()?;
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -1,75 +1,76 @@
-//! The decoded records of a batch.
+//! The decoded form of batches and their records.
 
 use balancer_core::{
     AttemptIndex, ClassId, EndpointEntry, Outcome, RequestId, TenantId, TimerId, UpdateScope, UpstreamId,
 };
 use std::time::Duration;
 
-/// A batch of records, all at one time.
+/// A batch of records, which all happen at the same simulated time.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The simulated time.
+    /// The simulated time of all records.
     pub clock: Duration,
-    /// The records in order.
+    /// The records, in the order in which they are applied.
     pub records: Vec<Record>,
 }
 
-/// A record and its place.
+/// A record and its position in the frame, for error messages.
 #[derive(Debug, PartialEq)]
 pub struct Record {
-    /// Offset of the record in its frame.
+    /// Offset of the record's first byte from the start of the frame.
     pub offset: usize,
-    /// The record.
+    /// The content of the record.
     pub body: RecordBody,
 }
 
 /// The content of a record.
 #[derive(Debug, PartialEq)]
 pub enum RecordBody {
-    /// Defines a numbered list, for the endpoint updates of all instances.
+    /// Defines a numbered endpoint list, to which the endpoint updates of all instances can refer.
     EndpointList {
-        /// The number; an earlier list of this number is replaced.
+        /// The number of the list. An earlier list with this number is replaced.
         number: u32,
-        /// The entries.
+        /// The entries of the list.
         entries: Vec<EndpointEntry>,
     },
-    /// Starts an instance.
+    /// Starts an instance, which replaces a running one of the same number.
     Start {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
-        /// The seed of its random numbers.
+        /// The seed of the balancer's random generator.
         seed: u64,
-        /// Its settings object, as JSON.
+        /// The JSON text of the settings object.
         settings: String,
     },
-    /// Kills an instance.
+    /// Kills an instance. It need not be running.
     Kill {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
     },
-    /// Carries a message from a peer, which balancers do not use.
+    /// Delivers a message from another instance. Balancers do not use such messages, so the content is
+    /// dropped.
     PeerMessage {
-        /// The instance that receives it.
+        /// The number of the receiving instance.
         instance: u32,
     },
-    /// Something has happened to a balancer.
+    /// Delivers an event to the balancer of an instance.
     BalancerEvent {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
-        /// What has happened.
+        /// The event.
         event: BalancerEvent,
     },
 }
 
-/// The counterpart of [`balancer_core::Event`] that owns its load report and refers to endpoints by list
-/// number.
+/// An event for a balancer: the counterpart of [`balancer_core::Event`] that owns its load report and refers
+/// to endpoint entries by the number of their list.
 #[derive(Debug, PartialEq)]
 pub enum BalancerEvent {
-    /// An update of the endpoint list.
+    /// An update of the endpoint list has arrived, or a call to discovery has failed.
     EndpointUpdate {
-        /// How complete it is.
+        /// How complete the update is.
         scope: UpdateScope,
-        /// The number of the list with its entries; without meaning for a failed call.
+        /// The number of the list with the entries of the update. Ignored if the scope is `Failed`.
         list: u32,
     },
     /// A client has sent a request.
@@ -82,9 +83,9 @@
         tenant: TenantId,
         /// How long the client is still going to wait.
         time_left: Duration,
-        /// Expected work on a standard core in milliseconds, where known.
+        /// Expected work on a standard core in milliseconds; `None` if it is unknown.
         expected_work_ms: Option<f64>,
-        /// The client marks the request as a retry.
+        /// Whether the client marks the request as a retry of its own.
         is_client_retry: bool,
     },
     /// A streamed response has started.
@@ -102,17 +103,17 @@
         id: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
-        /// The request has its final response.
+        /// Whether the request has its final response.
         request_finished: bool,
         /// How the attempt ended.
         result: UpstreamResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// How it ended.
+        /// How the health check ended.
         result: UpstreamResult,
     },
-    /// The client has disconnected.
+    /// The client of a request has disconnected.
     ClientDisconnected {
         /// The request.
         id: RequestId,
@@ -127,12 +128,12 @@
 /// How an attempt or a health check ended.
 #[derive(Debug, PartialEq)]
 pub struct UpstreamResult {
-    /// The upstream it was sent to.
+    /// The upstream that the attempt or health check was sent to.
     pub upstream: UpstreamId,
     /// The outcome.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt or health check was sent.
     pub latency: Duration,
-    /// The values of the load report; empty if none came.
+    /// The values of the load report, in the order of the settings; empty if there was no report.
     pub load_report: Vec<f32>,
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter as a process: batches on standard input, replies on standard output, and one line on standard
-//! error for malformed input.
+//! Runs the adapter as a process, which reads batches from standard input, writes replies to standard output
+//! and reports malformed input with one line on standard error.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -7,18 +7,20 @@
 const SETTINGS: &str = r#"{"balancers": 1, "classes": [{"aim_ms": 500.0, "hard_limit_ms": 1500.0,
     "effect": "idempotent", "worth": 1.0, "name": "a", "unknown": [1]}], "unknown": {"key": "value"}}"#;
 
-/// The instance that [`first_batch`] starts.
-const RUNNING: u32 = 3;
+/// The instance that [`start_batch`] starts.
+const RUNNING_INSTANCE: u32 = 3;
 /// An instance that is never started.
-const NOT_RUNNING: u32 = 4;
-const REQUEST: u32 = 77;
+const UNSTARTED_INSTANCE: u32 = 4;
+const REQUEST_ID: u32 = 77;
 
-/// Offset of the first record in a frame.
-const FIRST_RECORD: usize = 12;
+/// Offset of the first record in a frame, after the length field and the clock.
+const FIRST_RECORD_OFFSET: usize = 12;
+/// Code of the `FORWARD` action, which sends an attempt.
 const FORWARD_CODE: u8 = 72;
+/// Size of a `FORWARD` action, including its code.
 const FORWARD_BYTES: usize = 23;
 
-/// Runs the adapter on an input until it ends.
+/// Runs the adapter on an input until the process ends.
 fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -27,7 +29,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("standard input is piped");
-    // The adapter may have ended at an earlier byte; the closed pipe is then no error of the test.
+    // The adapter may end before it has read the whole input, so a broken pipe is not an error here.
     let _ = stdin.write_all(input);
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -38,18 +40,19 @@
     [&(body.len() as u32).to_be_bytes()[..], &body].concat()
 }
 
-/// `POWER_ON`
+/// Encodes a `POWER_ON` event, which starts an instance.
 fn start(instance: u32, settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_be_bytes();
     [&[5][..], &instance.to_be_bytes(), &7u64.to_be_bytes(), &length, settings.as_bytes()].concat()
 }
 
-/// `DETACH`
+/// Encodes a `DETACH` event, which kills an instance.
 fn kill(instance: u32) -> Vec<u8> {
     [&[8][..], &instance.to_be_bytes()].concat()
 }
 
-/// `DIRECTORY`, with the upstreams `10.0.0.id:0x2bc0`
+/// Encodes a `DIRECTORY` event, which defines an endpoint list. Its upstreams are ready and have the
+/// addresses `10.0.0.id:0x2bc0`.
 fn endpoint_list(number: u32, ids: &[u8]) -> Vec<u8> {
     let mut record = [&[4][..], &number.to_be_bytes(), &(ids.len() as u32).to_be_bytes()].concat();
     for id in ids {
@@ -60,12 +63,12 @@
     record
 }
 
-/// `FLEET`
+/// Encodes a `FLEET` event, which delivers an endpoint update.
 fn endpoint_update(instance: u32, scope: u8, list: u32) -> Vec<u8> {
     [&[9][..], &instance.to_be_bytes(), &[scope], &1u32.to_be_bytes(), &list.to_be_bytes()].concat()
 }
 
-/// `ASK`, of class 0 and tenant 0 with 1500 ms left
+/// Encodes an `ASK` event, which delivers a request of class 0 and tenant 0 with 1500 ms left.
 fn request(instance: u32, id: u32) -> Vec<u8> {
     let mut record = [&[11][..], &instance.to_be_bytes(), &id.to_be_bytes(), &[0; 2], &[0; 4]].concat();
     record.extend(0u64.to_be_bytes());
@@ -75,12 +78,19 @@
     record
 }
 
-/// Starts [`RUNNING`] with two upstreams.
-fn first_batch() -> Vec<u8> {
-    batch(100.0, &[start(RUNNING, SETTINGS), endpoint_list(0, &[1, 2]), endpoint_update(RUNNING, 2, 0)])
+/// Returns a valid batch that starts [`RUNNING_INSTANCE`] and gives it two upstreams.
+fn start_batch() -> Vec<u8> {
+    batch(
+        100.0,
+        &[
+            start(RUNNING_INSTANCE, SETTINGS),
+            endpoint_list(0, &[1, 2]),
+            endpoint_update(RUNNING_INSTANCE, 2, 0),
+        ],
+    )
 }
 
-/// The replies in order, without their length fields.
+/// Returns the replies in order, without their length fields.
 fn replies(output: &Output) -> Vec<Vec<u8>> {
     let mut replies = Vec::new();
     let mut rest = &output.stdout[..];
@@ -94,10 +104,11 @@
     replies
 }
 
-/// Asserts that the adapter ends at a batch after the first, with exit code 1, with one line that names the
-/// byte and holds a text, and with no part of a reply to that batch.
+/// Asserts that the adapter rejects a malformed batch that follows a valid one: it exits with code 1, writes
+/// one line to standard error that names the offset `byte` and contains `text`, and writes no part of a reply
+/// to the malformed batch.
 fn assert_malformed(second_batch: &[u8], byte: usize, text: &str) {
-    let output = run_adapter(&[&first_batch()[..], second_batch].concat());
+    let output = run_adapter(&[&start_batch()[..], second_batch].concat());
 
     let line = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{text}: {line}");
@@ -109,9 +120,9 @@
 
 #[test]
 fn a_request_is_sent_to_a_listed_upstream() {
-    let request_batch = batch(105.0, &[request(RUNNING, REQUEST)]);
+    let request_batch = batch(105.0, &[request(RUNNING_INSTANCE, REQUEST_ID)]);
 
-    let output = run_adapter(&[batch(90.0, &[]), first_batch(), request_batch].concat());
+    let output = run_adapter(&[batch(90.0, &[]), start_batch(), request_batch].concat());
 
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = replies(&output);
@@ -119,8 +130,8 @@
     assert_eq!(replies[0], [0u8; 0]);
     let forward = &replies[2];
     assert_eq!(forward[0], FORWARD_CODE);
-    assert_eq!(forward[1..5], RUNNING.to_be_bytes());
-    assert_eq!(forward[5..9], REQUEST.to_be_bytes());
+    assert_eq!(forward[1..5], RUNNING_INSTANCE.to_be_bytes());
+    assert_eq!(forward[5..9], REQUEST_ID.to_be_bytes());
     assert_eq!(forward[9..12], [10, 0, 0]);
     assert!([1, 2].contains(&forward[12]), "upstream {}", forward[12]);
     assert_eq!(forward[13..15], [0x2b, 0xc0]);
@@ -128,8 +139,8 @@
 }
 
 #[test]
-fn a_truncated_frame() {
-    let complete = batch(105.0, &[request(RUNNING, REQUEST)]);
+fn a_truncated_frame_is_rejected() {
+    let complete = batch(105.0, &[request(RUNNING_INSTANCE, REQUEST_ID)]);
     let truncated = &complete[..complete.len() - 5];
 
     assert_malformed(truncated, truncated.len(), "cut short");
@@ -137,47 +148,59 @@
 }
 
 #[test]
-fn an_impossible_length() {
+fn a_length_out_of_range_is_rejected() {
     assert_malformed(&[0xff, 0xff, 0xff, 0xff, 0, 0], 0, "length");
     assert_malformed(&[0, 0, 0, 3, 0, 0, 0], 0, "length");
 }
 
 #[test]
-fn a_record_that_stops_short() {
-    let mut truncated = request(RUNNING, REQUEST);
+fn a_truncated_record_is_rejected() {
+    let mut truncated = request(RUNNING_INSTANCE, REQUEST_ID);
     truncated.truncate(20);
 
     assert_malformed(&batch(105.0, &[truncated]), 27, "needs");
 }
 
 #[test]
-fn an_unknown_record_code() {
-    let valid = request(RUNNING, REQUEST);
-    let byte = FIRST_RECORD + valid.len();
+fn an_unknown_record_code_is_rejected() {
+    let valid = request(RUNNING_INSTANCE, REQUEST_ID);
+    let byte = FIRST_RECORD_OFFSET + valid.len();
 
     assert_malformed(&batch(105.0, &[valid, vec![99, 0, 0, 0, 3]]), byte, "99");
 }
 
 #[test]
-fn a_list_number_never_defined() {
-    assert_malformed(&batch(105.0, &[endpoint_update(RUNNING, 1, 9)]), FIRST_RECORD, "list");
+fn an_endpoint_update_with_an_undefined_list_number_is_rejected() {
+    assert_malformed(&batch(105.0, &[endpoint_update(RUNNING_INSTANCE, 1, 9)]), FIRST_RECORD_OFFSET, "list");
 }
 
 #[test]
-fn an_instance_never_started() {
-    assert_malformed(&batch(105.0, &[request(NOT_RUNNING, REQUEST)]), FIRST_RECORD, "never started");
+fn an_event_for_an_instance_that_is_not_running_is_rejected() {
+    assert_malformed(
+        &batch(105.0, &[request(UNSTARTED_INSTANCE, REQUEST_ID)]),
+        FIRST_RECORD_OFFSET,
+        "not running",
+    );
 }
 
 #[test]
-fn settings_that_are_not_json() {
-    assert_malformed(&batch(105.0, &[start(NOT_RUNNING, "{\"balancers\": ")]), FIRST_RECORD, "settings");
+fn settings_that_are_not_json_are_rejected() {
+    assert_malformed(
+        &batch(105.0, &[start(UNSTARTED_INSTANCE, "{\"balancers\": ")]),
+        FIRST_RECORD_OFFSET,
+        "settings",
+    );
 }
 
 #[test]
-fn settings_that_no_balancer_can_run_with() {
-    assert_malformed(&batch(105.0, &[start(NOT_RUNNING, "{\"balancers\": 1}")]), FIRST_RECORD, "class");
+fn invalid_settings_are_rejected() {
+    assert_malformed(
+        &batch(105.0, &[start(UNSTARTED_INSTANCE, "{\"balancers\": 1}")]),
+        FIRST_RECORD_OFFSET,
+        "class",
+    );
     let negative = SETTINGS.replace("\"worth\": 1.0", "\"worth\": -1.0");
-    assert_malformed(&batch(105.0, &[start(NOT_RUNNING, &negative)]), FIRST_RECORD, "worth");
+    assert_malformed(&batch(105.0, &[start(UNSTARTED_INSTANCE, &negative)]), FIRST_RECORD_OFFSET, "worth");
 }
 
 #[test]
@@ -189,10 +212,11 @@
 }
 
 #[test]
-fn actions_of_a_killed_instance_do_not_reach_its_next_life() {
-    let records = [request(RUNNING, REQUEST), kill(RUNNING), start(RUNNING, SETTINGS)];
+fn actions_of_a_killed_instance_are_discarded_when_it_is_started_again() {
+    let records =
+        [request(RUNNING_INSTANCE, REQUEST_ID), kill(RUNNING_INSTANCE), start(RUNNING_INSTANCE, SETTINGS)];
 
-    let output = run_adapter(&[first_batch(), batch(105.0, &records)].concat());
+    let output = run_adapter(&[start_batch(), batch(105.0, &records)].concat());
 
     assert!(output.status.success());
     assert_eq!(replies(&output)[1], [0u8; 0], "no FORWARD for the request of the killed instance");
