--- a/crates/settings/src/invalid_settings.rs
+++ b/crates/settings/src/invalid_settings.rs
@@ -17,6 +17,7 @@
     }
 }
 
+/// Returns the key of a field in the settings object, as error messages name it.
 fn settings_key(field: SettingsField) -> &'static str {
     match field {
         SettingsField::MaxAttempts => "limits.try_limit",
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -3,7 +3,7 @@
 use crate::warning::SettingsWarning;
 use balancer_core::Settings;
 
-/// The parsed settings of one deployment, with the names that its settings refer to by index.
+/// The settings of one balancer, the names in use in its deployment, and warnings about the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     /// The settings of the balancer.
--- a/crates/settings/src/warning.rs
+++ b/crates/settings/src/warning.rs
@@ -6,7 +6,7 @@
 /// A flaw in a settings object that its author should know of but that does not prevent its use.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsWarning {
-    /// The value of a key is not one of its known values, so its default is used.
+    /// The value of a key is unknown to this version, so the default of the key is used.
     #[error("{key} is {value:?}, which is unknown; {used:?} is used instead")]
     UnknownValue {
         /// The path of the key.
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -7,7 +7,7 @@
 pub const MAX_LIST_NUMBER: u32 = 15;
 
 /// Flag bit of a request: its work hint is valid.
-pub const EXPECTED_WORK_FLAG: u8 = 1;
+pub const WORK_HINT_FLAG: u8 = 1;
 /// Flag bit of a request: it is a retry by the client.
 pub const CLIENT_RETRY_FLAG: u8 = 2;
 
@@ -33,7 +33,7 @@
     HealthCheckEnded,
     /// Wire name `DETACH`: kills an instance.
     Kill,
-    /// Wire name `FLEET`: an update of the endpoint list arrived, or a call to discovery failed.
+    /// Wire name `FLEET`: an update of the endpoint list arrived, or a call to discovery or a watch failed.
     EndpointUpdate,
     /// Wire name `RETURNED`: an attempt ended.
     AttemptEnded,
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -173,8 +173,7 @@
     let time_left = reader.duration("time left")?;
     let work_hint_ms = reader.f64("work hint")?;
     let flags = reader.u8("flags")?;
-    let is_work_known =
-        flags & codes::EXPECTED_WORK_FLAG != 0 && work_hint_ms.is_finite() && work_hint_ms > 0.0;
+    let is_work_known = flags & codes::WORK_HINT_FLAG != 0 && work_hint_ms.is_finite() && work_hint_ms > 0.0;
     Ok(BalancerEvent::RequestArrived {
         id,
         class,
--- a/crates/simulator-adapter/src/decode/tests.rs
+++ b/crates/simulator-adapter/src/decode/tests.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 
 const INSTANCE: u32 = 3;
+/// Offset of the first record in a frame, after the length field and the clock.
 const FIRST_RECORD_OFFSET: usize = 12;
 const UPSTREAM: UpstreamId = UpstreamId(0x0a12_4a07_2bc3);
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -14,7 +14,7 @@
     /// The input ended within a frame.
     #[error("frame cut short at byte {received}: {expected} bytes expected")]
     TruncatedFrame {
-        /// Number of bytes received, with the length field.
+        /// Number of bytes of the frame that were received, including its length field.
         received: usize,
         /// Number of bytes expected: the length field or, once it is known, the complete frame.
         expected: usize,
@@ -88,14 +88,14 @@
     UndefinedList(u32),
     /// An event is addressed to an instance that is not running.
     #[error("instance {0} is not running")]
-    UnknownInstance(u32),
+    InstanceNotRunning(u32),
     /// The settings are not valid UTF-8.
     #[error("settings: {0}")]
     SettingsEncoding(Utf8Error),
     /// The settings cannot be parsed.
     #[error(transparent)]
     SettingsParse(#[from] SettingsParseError),
-    /// A value in the settings is invalid.
+    /// The settings can be parsed, but no balancer can run with them.
     #[error(transparent)]
     InvalidSettings(#[from] InvalidSettings),
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -4,7 +4,7 @@
 use crate::error::{AdapterError, WireProblem};
 use std::io::Read;
 
-/// Size of the length field, which does not count itself.
+/// Size of the length field. The length that it states does not include the field itself.
 pub const LENGTH_BYTES: usize = 4;
 /// Size of the clock at the start of every batch, and therefore the smallest valid length.
 const CLOCK_BYTES: usize = 8;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -78,7 +78,7 @@
         if self.instances.contains_key(&instance) {
             Ok(())
         } else {
-            Err(WireProblem::UnknownInstance(instance))
+            Err(WireProblem::InstanceNotRunning(instance))
         }
     }
 
@@ -89,7 +89,7 @@
         event: &BalancerEvent,
     ) -> Result<(), WireProblem> {
         let event = core_event(event, &self.lists)?;
-        let balancer = self.instances.get_mut(&instance).ok_or(WireProblem::UnknownInstance(instance))?;
+        let balancer = self.instances.get_mut(&instance).ok_or(WireProblem::InstanceNotRunning(instance))?;
         self.action_buffer.clear();
         balancer.handle(now, event, &mut self.action_buffer);
         let actions = self.action_buffer.drain(..);
@@ -138,8 +138,8 @@
     })
 }
 
-/// Returns the entries of an endpoint update, or an error if its list is not defined. A failed call to
-/// discovery has no entries, whichever list number it states.
+/// Returns the entries of an endpoint update, or an error if its list is not defined. An update with the
+/// scope `Failed` has no entries, and its list number is ignored.
 fn update_entries(
     scope: UpdateScope,
     list: u32,
--- a/crates/simulator-adapter/src/reader.rs
+++ b/crates/simulator-adapter/src/reader.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A reader at a position in a frame. Each reading method advances past one field, and fails if the frame
-/// ends within it; the error calls the field by the name in the argument `field`.
+/// ends within it. The argument `field` is the name of the field in the error message.
 pub struct FieldReader<'a> {
     frame: &'a [u8],
     offset: usize,
@@ -82,7 +82,7 @@
     }
 
     /// Reads the number of items, of `item_bytes` each, that follow. Fails if the rest of the frame is too
-    /// short for them, so that the caller never allocates memory for items that cannot follow.
+    /// short for them, so that no memory is allocated for more items than the frame contains.
     pub fn count(&mut self, item_bytes: usize, field: &'static str) -> Result<usize, WireError> {
         let offset = self.offset;
         let count = self.u32(field)? as usize;
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -66,7 +66,7 @@
 /// to endpoint entries by the number of their list.
 #[derive(Debug, PartialEq)]
 pub enum BalancerEvent {
-    /// An update of the endpoint list has arrived, or a call to discovery has failed.
+    /// An update of the endpoint list has arrived, or a call to discovery or a watch has failed.
     EndpointUpdate {
         /// How complete the update is.
         scope: UpdateScope,
