--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,8 +1,8 @@
-//! Attempts: a request is sent to one upstream, and the end of it becomes an [`Outcome`].
+//! Sends a request to one upstream and turns the result into an [`Outcome`].
 //!
-//! An outcome says that the request was not executed only where that is proved: no connection was made, the
-//! kernel had not accepted the last byte of the request when the attempt ended, or the upstream says so
-//! itself.
+//! An outcome states that the upstream did not execute the request only if this is certain. It is certain if
+//! no connection was established, if the kernel had not accepted the last byte of the request when the
+//! attempt ended, or if the response says so.
 
 use crate::headers::{self, NOT_EXECUTED};
 use crate::upstream::connection::Connection;
@@ -20,23 +20,24 @@
 #[cfg(test)]
 mod tests;
 
-/// The response of an upstream with status 200.
+/// A response with status 200 from an upstream.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// The end-to-end headers.
+    /// The headers of the response without the hop-by-hop headers and the load report.
     pub headers: HeaderMap,
-    /// The complete body.
+    /// The complete body. A large one counts against the budget for large bodies until it is dropped.
     pub body: Bytes,
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
-    /// The response, with [`Outcome::Ok`] only.
+    /// The response to forward. Present only if the outcome is [`Outcome::Ok`].
     pub response: Option<UpstreamResponse>,
-    /// The values of the load report, in the order of the settings. Empty if there was none.
+    /// The values of the load report, in the order in which the settings list its fields. Empty if the
+    /// response had no readable report.
     pub load_report: Vec<f32>,
 }
 
@@ -46,21 +47,23 @@
     }
 }
 
-/// How the exchange of an attempt ended.
+/// How the HTTP exchange of an attempt ended.
 enum ExchangeEnd {
     Completed(Response<Bytes>),
     Failed(ExchangeError),
-    /// The deadline has passed, or the process ends.
-    DeadlinePassed,
-    /// Interrupted before the whole request was written.
-    Abandoned,
+    /// The deadline passed, or the attempt was aborted after the whole request had been written.
+    TimedOut,
+    /// The attempt was abandoned or aborted before the whole request was written.
+    InterruptedBeforeWritten,
 }
 
 impl Upstreams {
     /// Sends a request to an upstream and waits for the response until `deadline`.
     ///
-    /// If it is interrupted before the whole request is written, it ends with [`Outcome::NotSent`]. Once the
-    /// request is written, an abandoned attempt goes on, and an aborted one ends with [`Outcome::TimedOut`].
+    /// If the upstream is unknown, or if the attempt is interrupted or the deadline passes before the whole
+    /// request is written, the attempt ends with [`Outcome::NotSent`]. Once the request is written, an
+    /// abandoned attempt still waits for the response, and an aborted attempt ends with
+    /// [`Outcome::TimedOut`].
     pub async fn attempt(
         &self,
         id: UpstreamId,
@@ -77,8 +80,8 @@
         }
     }
 
-    /// Makes an attempt on a single connection. Returns `None` if it was a reused one that ended before any
-    /// byte of the request was written: another connection may be tried.
+    /// Makes an attempt on a single connection. Returns `None` if the connection was a reused one that failed
+    /// before any byte of the request was written, in which case the caller may try another connection.
     async fn attempt_on_one_connection(
         &self,
         id: UpstreamId,
@@ -97,10 +100,10 @@
             Err(outcome) => return Some(outcome.into()),
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
-        // The upstream may have begun to drain while the connection was made.
+        // The upstream may have begun to drain while the attempt waited for the connection.
         let ready = upstream.ready.get();
         if !ready {
-            self.record_withheld(id);
+            self.record_withheld_attempt(id);
         }
         if !ready || time_left.is_zero() {
             self.check_in(id, upstream, checked_out);
@@ -111,8 +114,8 @@
         let connection = &mut checked_out.connection;
         match self.exchange_unless_interrupted(connection, request, &progress, deadline, interruption).await {
             ExchangeEnd::Completed(response) => {
-                // If the response came before the whole request was written, the rest of the request would
-                // precede the next one.
+                // If the response arrived before the whole request was written, the connection cannot be
+                // reused: the rest of this request would be written ahead of the next one.
                 if progress.is_complete() {
                     self.check_in(id, upstream, checked_out);
                 }
@@ -123,19 +126,19 @@
                 log_exchange_failure(id, &progress, &error);
                 Some(error.outcome(progress.is_complete()).into())
             }
-            ExchangeEnd::DeadlinePassed if progress.is_complete() => Some(Outcome::TimedOut.into()),
-            ExchangeEnd::DeadlinePassed | ExchangeEnd::Abandoned => Some(Outcome::NotSent.into()),
+            ExchangeEnd::TimedOut if progress.is_complete() => Some(Outcome::TimedOut.into()),
+            ExchangeEnd::TimedOut | ExchangeEnd::InterruptedBeforeWritten => Some(Outcome::NotSent.into()),
         }
     }
 
-    /// Logs and counts an attempt that is withheld because its upstream takes no requests any more.
-    fn record_withheld(&self, id: UpstreamId) {
+    /// Logs and counts an attempt that is not sent because its upstream no longer takes requests.
+    fn record_withheld_attempt(&self, id: UpstreamId) {
         tracing::debug!(upstream = id.0, "attempt withheld: upstream is draining or removed");
         self.metrics.withheld_attempts.inc();
     }
 
-    /// Sends a request and waits for the response until `deadline`, until the requester is gone and the
-    /// request not completely written, or until the process ends.
+    /// Sends a request and waits for the response. Stops waiting at `deadline`, when the attempt is aborted,
+    /// or when it is abandoned before the whole request is written.
     async fn exchange_unless_interrupted(
         &self,
         connection: &mut Connection,
@@ -151,29 +154,29 @@
             result = exchange.as_mut() => result,
             cause = interruption.occurred() => {
                 if !progress.is_complete() {
-                    return ExchangeEnd::Abandoned;
+                    return ExchangeEnd::InterruptedBeforeWritten;
                 }
                 if cause == InterruptionCause::Aborted {
-                    return ExchangeEnd::DeadlinePassed;
+                    return ExchangeEnd::TimedOut;
                 }
                 tokio::select! {
                     result = exchange => result,
-                    () = interruption.aborted() => return ExchangeEnd::DeadlinePassed,
+                    () = interruption.aborted() => return ExchangeEnd::TimedOut,
                 }
             }
         };
         match result {
             Ok(Ok(response)) => ExchangeEnd::Completed(response),
             Ok(Err(error)) => ExchangeEnd::Failed(error),
-            Err(_) => ExchangeEnd::DeadlinePassed,
+            Err(_) => ExchangeEnd::TimedOut,
         }
     }
 
-    /// The result of an attempt that got a complete response.
+    /// Returns the result of an attempt that received a complete response.
     fn result_of_response(&self, http_response: Response<Bytes>) -> AttemptResult {
         let (head, body) = http_response.into_parts();
         let mut headers = head.headers;
-        let load_report = self.load_reports.take_from_headers(&mut headers);
+        let load_report = self.load_report_reader.take_from_headers(&mut headers);
         let outcome = outcome_of_response(head.status, &headers);
         headers::strip_hop_by_hop(&mut headers);
         let response = (outcome == Outcome::Ok).then_some(UpstreamResponse { headers, body });
@@ -193,5 +196,5 @@
 fn log_exchange_failure(id: UpstreamId, progress: &RequestProgress, error: &ExchangeError) {
     let bytes_written = progress.bytes_written();
     let request_length = progress.request_length();
-    tracing::debug!(upstream = id.0, bytes_written, request_length, %error, "exchange failed");
+    tracing::debug!(upstream = id.0, bytes_written, request_length, %error, "exchange with upstream failed");
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client connection that knows how many bytes of a request the kernel has accepted.
+//! An outgoing HTTP/1.1 connection that counts the bytes accepted by the kernel.
 
 use crate::socket_io;
 use crate::upstream::counting_stream::CountingStream;
@@ -17,65 +17,66 @@
 #[cfg(test)]
 mod tests;
 
-/// The read and write buffer of a connection, and with it the longest response head that is accepted.
+/// Maximum size of the read and write buffers of a connection. It also limits the length of a response head.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// An open connection. Dropping it closes it, even while a request is in flight on it.
+/// An open connection. Dropping it closes the connection, even while a request is in flight on it.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     io_task: AbortHandle,
     bytes_written: Rc<Cell<u64>>,
-    check_silence: Rc<Cell<bool>>,
+    stale_check_due: Rc<Cell<bool>>,
     peer: SocketAddr,
 }
 
 impl Connection {
-    /// Connects to `peer`. `slot` is dropped once the connection's descriptor is closed. Fails with the error
-    /// of the connect call or of the socket option.
+    /// Connects to `peer`. `slot` is dropped after the file descriptor of the connection is closed. Fails
+    /// with the error of the connect call or of the call that sets `TCP_NODELAY`.
     pub async fn open<S: Unpin + 'static>(peer: SocketAddr, slot: S) -> io::Result<Self> {
         let stream = socket_io::connect(peer).await?;
         stream.set_nodelay(true)?;
         let bytes_written = Rc::new(Cell::new(0));
-        let check_silence = Rc::new(Cell::new(false));
-        let stream = CountingStream::new(stream, Rc::clone(&bytes_written), Rc::clone(&check_silence), slot);
+        let stale_check_due = Rc::new(Cell::new(false));
+        let stream =
+            CountingStream::new(stream, Rc::clone(&bytes_written), Rc::clone(&stale_check_due), slot);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
         let io_task = tokio::task::spawn_local(async move {
-            // The error of a connection that ends is reported by its sender.
+            // `sender` reports the error of a connection that ends.
             let _ = connection.await;
         });
         let io_task = io_task.abort_handle();
-        Ok(Self { sender, io_task, bytes_written, check_silence, peer })
+        Ok(Self { sender, io_task, bytes_written, stale_check_due, peer })
     }
 
-    /// The address that it is connected to.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether this process has already noticed that the connection ended.
+    /// Returns whether this process has already noticed the end of the connection.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until the connection can take a request. Returns `false` if it ended instead.
+    /// Waits until the connection can take a request or has ended. Returns `false` if it has ended.
     pub async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// The number of bytes that the kernel has accepted since the connection was opened. The counter stays
-    /// current while a request is being sent.
+    /// Returns the counter of the bytes that the kernel has accepted since the connection was opened. It is
+    /// updated while a request is being sent.
     pub fn bytes_written(&self) -> Rc<Cell<u64>> {
         Rc::clone(&self.bytes_written)
     }
 
     /// Sends a request and waits for the head of the response. Fails without writing anything if the peer has
-    /// closed the connection or sent bytes that belong to no request.
+    /// closed the connection or has sent bytes before the request.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
-        self.check_silence.set(true);
+        self.stale_check_due.set(true);
         self.sender.send_request(request).await
     }
 }
@@ -86,8 +87,8 @@
     }
 }
 
-/// The number of bytes that hyper writes for a request that states its own length: request line, headers and
-/// body.
+/// Returns the number of bytes that hyper writes for the request line, headers and body of a request. The
+/// number is exact only if the request sets its own `Content-Length` or needs none, so that hyper adds none.
 pub fn wire_length(request: &Request<Full<Bytes>>) -> u64 {
     let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
     let request_line = request.method().as_str().len() + " ".len() + path + " HTTP/1.1\r\n".len();
--- a/crates/proxy/src/upstream/connection/tests.rs
+++ b/crates/proxy/src/upstream/connection/tests.rs
@@ -11,7 +11,7 @@
     request.body(Full::from(body)).unwrap()
 }
 
-/// Accepts a connection, reads exactly `length` bytes and answers with 200.
+/// Accepts a connection, reads exactly `length` bytes, responds with status 200 and returns the bytes read.
 async fn read_request_of_length(listener: &TcpListener, length: u64) -> String {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut read = vec![0; length as usize];
@@ -20,9 +20,10 @@
     String::from_utf8(read).unwrap()
 }
 
-/// The proof that a request was not executed depends on the length of the request on the wire.
+/// An attempt counts as not executed if fewer bytes than the length of its request were written. A wrong
+/// length would let requests be retried that the upstream may have executed.
 #[tokio::test(flavor = "local")]
-async fn the_computed_wire_length_is_the_number_of_bytes_written() {
+async fn wire_length_is_the_number_of_bytes_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap();
     for (method, body) in [("GET", ""), ("POST", ""), ("POST", "some words")] {
--- a/crates/proxy/src/upstream/counting_stream.rs
+++ b/crates/proxy/src/upstream/counting_stream.rs
@@ -1,5 +1,5 @@
-//! The TCP stream below an upstream connection: counts the bytes written and checks that an idle connection
-//! is silent before a request is written to it.
+//! The TCP stream of an outgoing connection. It counts the bytes written, and detects that the connection is
+//! stale before a request is written.
 
 use crate::socket_io;
 use socket2::SockRef;
@@ -12,36 +12,42 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP stream that counts the bytes that the kernel has accepted, and holds `slot` until its descriptor is
-/// closed.
+/// A TCP stream that counts the bytes accepted by the kernel and checks on demand whether the connection is
+/// stale. A connection is stale if the peer has closed it or has sent bytes that belong to no request.
+///
+/// It owns a slot of type `S`, which is dropped after the file descriptor is closed.
 pub struct CountingStream<S> {
-    // Dropped before `_slot`: the slot must not be reused while the descriptor is still open.
+    // Declared before `_slot` so that it is dropped first. The slot must not be reused while the file
+    // descriptor is still open.
     stream: TcpStream,
+    /// The number of bytes accepted by the kernel since the connection was opened.
     bytes_written: Rc<Cell<u64>>,
-    check_silence: Rc<Cell<bool>>,
+    /// Whether the next write has to check first that the connection is not stale.
+    stale_check_due: Rc<Cell<bool>>,
     _slot: S,
 }
 
 impl<S> CountingStream<S> {
-    /// Wraps a connected stream. `bytes_written` grows with each write. The first write after `check_silence`
-    /// is set to `true` fails, without writing anything, unless the connection is open and has nothing to
-    /// read.
+    /// Wraps a connected stream. Each write adds its length to `bytes_written`. The first write after
+    /// `stale_check_due` is set to `true` fails without writing anything if the peer has closed the
+    /// connection or if there are bytes to read.
     pub fn new(
         stream: TcpStream,
         bytes_written: Rc<Cell<u64>>,
-        check_silence: Rc<Cell<bool>>,
+        stale_check_due: Rc<Cell<bool>>,
         slot: S,
     ) -> Self {
-        Self { stream, bytes_written, check_silence, _slot: slot }
+        Self { stream, bytes_written, stale_check_due, _slot: slot }
     }
 
-    /// Fails if a silence check is due and the peer has sent anything or closed the connection.
+    /// Fails if a stale check is due and the peer has sent bytes or closed the connection.
     ///
-    /// Asks the kernel, because this process may not have polled the socket since. Bytes that followed an
-    /// earlier response must not be taken for the response to the next request. A request written to a closed
-    /// connection would end as a reset, after which an unsafe request cannot be retried.
-    fn check_silence_if_due(&self) -> io::Result<()> {
-        if !self.check_silence.replace(false) {
+    /// Peeks at the socket, because this process may not have polled it since the peer did so. Bytes that
+    /// follow an earlier response must not be taken for the response to the next request. A request written
+    /// to a closed connection would end as a reset, after which a request that is not safe to repeat cannot
+    /// be retried.
+    fn run_stale_check_if_due(&self) -> io::Result<()> {
+        if !self.stale_check_due.replace(false) {
             return Ok(());
         }
         loop {
@@ -50,14 +56,15 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
                 Err(e) => Err(e),
                 Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(_) => {
-                    Err(io::Error::new(io::ErrorKind::InvalidData, "unexpected bytes on an idle connection"))
-                }
+                Ok(_) => Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "peer sent unexpected bytes on an idle connection",
+                )),
             };
         }
     }
 
-    /// Adds the bytes of a completed write to the counter.
+    /// Adds the length of a completed write to `bytes_written`.
     fn count_written(&self, poll: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(length)) = &poll {
             self.bytes_written.set(self.bytes_written.get() + *length as u64);
@@ -78,7 +85,7 @@
 
 impl<S: Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &[u8]) -> Poll<io::Result<usize>> {
-        self.check_silence_if_due()?;
+        self.run_stale_check_if_due()?;
         let poll = socket_io::poll_write(&self.stream, context, |stream| stream.try_write(buffer));
         self.count_written(poll)
     }
@@ -88,7 +95,7 @@
         context: &mut Context<'_>,
         buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.check_silence_if_due()?;
+        self.run_stale_check_if_due()?;
         let poll = socket_io::poll_write(&self.stream, context, |stream| stream.try_write_vectored(buffers));
         self.count_written(poll)
     }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The connection pool of all upstreams: limits the open connections and keeps idle ones for reuse.
+//! The connection pool that all upstreams share. It limits the number of open connections and keeps idle ones
+//! for reuse.
 
 use crate::rate_limited_log::RateLimitedLog;
 use crate::upstream::connection::Connection;
@@ -15,26 +16,26 @@
 #[cfg(test)]
 mod tests;
 
-/// How often the pool looks for idle connections that have expired.
+/// Interval at which the pool closes idle connections that have expired.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Permission to have one connection open, held until the connection's descriptor is closed.
-pub type Slot = OwnedSemaphorePermit;
+/// A permit for one open connection. It is held until the file descriptor of the connection is closed.
+pub type ConnectionSlot = OwnedSemaphorePermit;
 
-/// The connections to all upstreams.
-pub struct Pool {
+/// The idle connections to all upstreams, and the permits for open ones.
+pub struct ConnectionPool {
     idle: RefCell<IdleConnections>,
-    /// Wakes all tasks that wait for a slot.
+    /// Notified each time a connection becomes idle. Wakes all tasks that wait for a slot.
     became_idle: Notify,
     slots: Arc<Semaphore>,
     max_connections: usize,
     max_idle_time: Duration,
-    exhausted_log: RateLimitedLog,
+    exhaustion_log: RateLimitedLog,
 }
 
-impl Pool {
-    /// Creates an empty pool. At most `max_connections` are open at once, and a connection is not reused
-    /// after it has been idle for `max_idle_time`.
+impl ConnectionPool {
+    /// Creates an empty pool. At most `max_connections` connections are open at the same time. A connection
+    /// that has been idle for `max_idle_time` is not reused.
     pub fn new(max_connections: usize, max_idle_time: Duration) -> Self {
         Self {
             idle: RefCell::default(),
@@ -42,11 +43,11 @@
             slots: Arc::new(Semaphore::new(max_connections)),
             max_connections,
             max_idle_time,
-            exhausted_log: RateLimitedLog::default(),
+            exhaustion_log: RateLimitedLog::default(),
         }
     }
 
-    /// Keeps a connection on which no request is in flight, unless it is known to be closed.
+    /// Adds a connection on which no request is in flight, unless it is known to be closed.
     pub fn put(&self, upstream: UpstreamId, connection: Connection) {
         if connection.is_closed() {
             return;
@@ -56,12 +57,13 @@
         self.became_idle.notify_waiters();
     }
 
-    /// Takes the connection to an upstream that became idle last. Closes those that can't be reused.
+    /// Takes the connection to an upstream that became idle most recently. Skips and closes connections
+    /// that have expired or are known to be closed. Returns `None` if no connection remains.
     pub fn take(&self, upstream: UpstreamId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(newest) = idle.pop_newest(upstream) {
-            if newest.idle_since.elapsed() < self.max_idle_time && !newest.connection.is_closed() {
-                return Some(newest.connection);
+        while let Some(most_recent) = idle.pop_most_recent(upstream) {
+            if most_recent.idle_since.elapsed() < self.max_idle_time && !most_recent.connection.is_closed() {
+                return Some(most_recent.connection);
             }
         }
         None
@@ -72,14 +74,18 @@
         self.idle.borrow_mut().close_all(upstream);
     }
 
-    /// Waits for a slot for a connection to `upstream`. Closes the connection that has been idle longest if
-    /// no slot is free. Returns `None` if a connection to `upstream` became idle in the meantime, which can
-    /// be taken instead.
-    pub async fn acquire_slot(&self, upstream: UpstreamId) -> Option<Slot> {
-        if self.slots.available_permits() == 0 && !self.close_oldest() {
+    /// Waits for a slot for a new connection to `upstream`. If no slot is free, closes the connection that
+    /// has been idle longest. Returns `None` if a connection to `upstream` became idle during the wait. The
+    /// caller can take that one instead.
+    pub async fn acquire_slot(&self, upstream: UpstreamId) -> Option<ConnectionSlot> {
+        if self.slots.available_permits() == 0 && !self.close_longest_idle() {
             let max_connections = self.max_connections;
-            self.exhausted_log.warn(|skipped| {
-                tracing::warn!(skipped, max_connections, "all upstream connections are in use")
+            self.exhaustion_log.warn(|skipped| {
+                tracing::warn!(
+                    skipped,
+                    max_connections,
+                    "all upstream connections are in use, an attempt waits for one"
+                )
             });
         }
         let mut slot = pin!(Arc::clone(&self.slots).acquire_owned());
@@ -92,13 +98,13 @@
                     if self.idle.borrow().contains(upstream) {
                         return None;
                     }
-                    self.close_oldest();
+                    self.close_longest_idle();
                 }
             }
         }
     }
 
-    /// Closes expired idle connections at a fixed interval. Never returns.
+    /// Closes idle connections that have expired, at a fixed interval. Never returns.
     pub async fn close_expired_periodically(&self) {
         loop {
             tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
@@ -114,11 +120,11 @@
     }
 
     /// Closes the connection that has been idle longest. Returns `false` if none is idle.
-    fn close_oldest(&self) -> bool {
-        self.idle.borrow_mut().pop_oldest().is_some()
+    fn close_longest_idle(&self) -> bool {
+        self.idle.borrow_mut().pop_longest_idle().is_some()
     }
 
-    /// The number of open connections.
+    /// Returns the number of slots in use.
     #[cfg(test)]
     pub fn open_connections(&self) -> usize {
         self.max_connections - self.slots.available_permits()
--- a/crates/proxy/src/upstream/set.rs
+++ b/crates/proxy/src/upstream/set.rs
@@ -1,8 +1,8 @@
-//! The set of known upstreams: where each one listens and whether it takes requests.
+//! The set of known upstreams, with the address of each and whether it takes requests.
 
 use crate::metrics::Metrics;
 use crate::upstream::load_report::LoadReportReader;
-use crate::upstream::pool::Pool;
+use crate::upstream::pool::ConnectionPool;
 use crate::upstream::response_body::LargeBodyBudget;
 use balancer_core::{Availability, Settings, UpstreamId};
 use rustc_hash::FxHashMap;
@@ -11,27 +11,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The fraction of the upstreams' idle timeout for which a connection is kept. A request that crosses the
-/// upstream's own close ends as a reset, after which an unsafe request cannot be retried.
+/// Fraction of the upstreams' idle timeout after which this process closes an idle connection. This process
+/// has to close it before the upstream does: a request that is sent while the upstream closes the connection
+/// ends as a reset, and cannot be retried afterwards unless it is safe to repeat.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// What the endpoint list says about an upstream, as far as connections to it are concerned.
+/// The part of an endpoint list entry that concerns the connections to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointState {
-    /// Where it listens. `None` if the list does not say so in a readable form.
+    /// The address at which the upstream listens. `None` if the list has no readable address.
     pub address: Option<SocketAddr>,
-    /// Whether it takes requests.
+    /// Whether the upstream takes requests, drains or has been removed.
     pub availability: Availability,
-    /// When its process started, as the list says, in Unix time; 0 if long ago.
+    /// The start time of the upstream's process in milliseconds of Unix time, as stated in the list. 0 if the
+    /// process started long ago.
     pub started_at_unix_ms: u64,
 }
 
-/// The current state of a known upstream. Attempts hold on to it while they wait for a connection, and so see
-/// changes that come in meanwhile.
+/// The current state of a known upstream. An attempt shares it while it waits for a connection, so that it
+/// sees changes of the endpoint list during the wait.
 pub(super) struct Upstream {
+    /// The last readable address in the endpoint list. `None` if there was none yet.
     pub(super) address: Cell<Option<SocketAddr>>,
+    /// The start time of the upstream's process in milliseconds of Unix time.
     pub(super) started_at_unix_ms: Cell<u64>,
-    /// Whether it takes requests. `false` once it drains or has been removed.
+    /// Whether the upstream takes requests. `false` once it drains or has been removed.
     pub(super) ready: Cell<bool>,
 }
 
@@ -45,19 +49,19 @@
     }
 }
 
-/// All known upstreams and the connections to them.
+/// All known upstreams, and the connections to them.
 pub struct Upstreams {
     known: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
-    pub(super) pool: Pool,
+    pub(super) pool: ConnectionPool,
     pub(super) large_body_budget: LargeBodyBudget,
     pub(super) connect_timeout: Duration,
-    pub(super) load_reports: LoadReportReader,
+    pub(super) load_report_reader: LoadReportReader,
     pub(super) metrics: Rc<Metrics>,
 }
 
 impl Upstreams {
-    /// Creates an empty set. At most `max_connections` to all upstreams together are open at once, and the
-    /// large response bodies that are in memory hold at most `large_body_bytes` together.
+    /// Creates an empty set. `max_connections` limits the open connections to all upstreams together.
+    /// `large_body_bytes` limits the memory for the large response bodies of all upstreams together.
     pub fn new(
         settings: &Settings,
         max_connections: usize,
@@ -67,16 +71,16 @@
         let max_idle_time = settings.connection_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         Self {
             known: RefCell::default(),
-            pool: Pool::new(max_connections, max_idle_time),
+            pool: ConnectionPool::new(max_connections, max_idle_time),
             large_body_budget: LargeBodyBudget::new(large_body_bytes),
             connect_timeout: settings.connect_timeout,
-            load_reports: LoadReportReader::new(settings),
+            load_report_reader: LoadReportReader::new(settings),
             metrics,
         }
     }
 
-    /// Applies an entry of the endpoint list. Closes the idle connections to an upstream that has moved or
-    /// restarted, or that takes no requests any more.
+    /// Applies an entry of the endpoint list. Closes the idle connections to the upstream if its address
+    /// changed, if it restarted, or if it does not take requests.
     pub fn apply_entry(&self, id: UpstreamId, state: &EndpointState) {
         let mut known = self.known.borrow_mut();
         if state.availability == Availability::Removed {
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Removes all upstreams for which `is_listed` returns `false`, and closes the idle connections to them.
+    /// Removes the upstreams for which `is_listed` returns `false`, and closes the idle connections to them.
     pub fn retain_listed(&self, is_listed: impl Fn(UpstreamId) -> bool) {
         self.known.borrow_mut().retain(|id, upstream| {
             let retained = is_listed(*id);
@@ -116,12 +120,12 @@
         self.pool.close_idle(id);
     }
 
-    /// Closes connections that have been idle too long, at a fixed interval. Never returns.
+    /// Closes idle connections that have expired, at a fixed interval. Never returns.
     pub async fn close_expired_periodically(&self) {
         self.pool.close_expired_periodically().await;
     }
 
-    /// The state of an upstream. `None` if it is not known or has been removed.
+    /// Returns the state of an upstream, or `None` if the upstream is unknown or has been removed.
     pub(super) fn get(&self, id: UpstreamId) -> Option<Rc<Upstream>> {
         self.known.borrow().get(&id).map(Rc::clone)
     }
