--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -1,8 +1,8 @@
-//! A duration that doubles with each failure, within two bounds; used as a wait and as a timeout.
+//! A duration that doubles after each failure, within two bounds. It serves as a wait and as a timeout.
 
 use std::time::Duration;
 
-/// An exponentially growing duration.
+/// A duration that grows exponentially from a minimum up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     min: Duration,
@@ -11,12 +11,12 @@
 }
 
 impl Backoff {
-    /// A duration that begins at `min` and grows up to `max`.
+    /// Creates a duration that begins at `min` and grows up to `max`.
     pub const fn new(min: Duration, max: Duration) -> Self {
         Self { min, max, current: min }
     }
 
-    /// The current duration.
+    /// Returns the current duration.
     pub fn current(&self) -> Duration {
         self.current
     }
@@ -26,7 +26,7 @@
         self.current = (self.current * 2).min(self.max);
     }
 
-    /// Returns to the minimum.
+    /// Sets the current duration back to the minimum.
     pub fn reset(&mut self) {
         self.current = self.min;
     }
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery, up to the head of the response.
+//! Calls to discovery, from the connection up to the head of the response.
 
 use crate::discovery::backoff::Backoff;
 use crate::discovery::error::DiscoveryError;
@@ -18,33 +18,34 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Bounds of the time that a sequential call may take to the head of its response, its connection included. A
-/// busy discovery serves calls in turn, and a call that is given up loses its turn: so the time grows.
+/// Bounds of the timeout for a sequential call, from connecting up to the head of the response. A busy
+/// discovery service queues calls, and a call that times out loses its place in the queue. So the timeout
+/// doubles each time.
 const MIN_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time between two overlapping calls while none has a response. A call made while discovery was down may
-/// never have one, and changes count as delivered (see [`discovery`](crate::discovery)) once discovery is
-/// back: the next call must follow soon.
+/// Time from the start of one overlapping call to the start of the next, as long as none has a response. A
+/// call made while discovery was down may never get one. Once discovery is back, changes count as delivered
+/// (see [`discovery`](crate::discovery)), so the next call has to follow soon.
 const OVERLAPPING_CALL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an overlapping call may take to the head of its response. With [`OVERLAPPING_CALL_INTERVAL`] it
-/// bounds the descriptors in use: about ten calls are open at once.
+/// Timeout for an overlapping call, from connecting up to the head of the response. Together with
+/// [`OVERLAPPING_CALL_INTERVAL`] it bounds the file descriptors in use: about ten calls are open at once.
 const OVERLAPPING_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Whether another call is made while one has no response yet.
+/// Whether another call starts while an earlier one has no response yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum CallStrategy {
-    /// Each call ends before the next: calls are work for discovery.
+    /// Each call ends before the next one starts, since every call costs the discovery service work.
     Sequential,
-    /// Calls are repeated until one has a response: calls cost nothing, while changes count as delivered
-    /// meanwhile.
+    /// Further calls start until one has a response. Calls cost next to nothing here, and changes count as
+    /// delivered (see [`discovery`](crate::discovery)) even before a response arrives.
     Overlapping,
 }
 
-/// The response of discovery to a call, its body still to be read.
+/// A response of discovery with status 200, whose body is still to be read.
 pub(super) struct DiscoveryResponse {
-    /// The connection of the body. Dropping it ends the body.
+    /// Connection that the body arrives on. Dropping it ends the body.
     pub(super) connection: Connection,
-    /// The body.
+    /// Body of the response, of which nothing has been read yet.
     pub(super) body: Incoming,
 }
 
@@ -52,14 +53,14 @@
 pub(super) struct DiscoveryCaller {
     address: Cell<SocketAddr>,
     strategy: CallStrategy,
-    /// How long a sequential call may take.
+    /// Timeout for the next sequential call, up to the head of its response.
     response_head_timeout: Cell<Backoff>,
     log: Rc<RateLimitedLog>,
     metrics: Rc<Metrics>,
 }
 
 impl DiscoveryCaller {
-    /// Calls to discovery at an address.
+    /// Creates a caller of discovery at `address`.
     pub(super) fn new(
         address: SocketAddr,
         strategy: CallStrategy,
@@ -76,12 +77,12 @@
         }
     }
 
-    /// Makes later calls at this address. Returns whether it is a new one.
+    /// Directs later calls to `address`. Returns whether it differs from the previous one.
     pub(super) fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address
     }
 
-    /// Requests `target` and waits for the head of a response with status 200.
+    /// Requests `target` and returns once the head of a response with status 200 has arrived.
     pub(super) async fn call(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         match self.strategy {
             CallStrategy::Sequential => self.call_once(target).await,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Makes one call. If it times out, the next one is given more time.
+    /// Makes one call. If it times out, the timeout for the next one is longer.
     async fn call_once(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         let mut response_head_timeout = self.response_head_timeout.get();
         let result = timeout(response_head_timeout.current(), self.send_request(target)).await;
@@ -105,9 +106,9 @@
         result.unwrap_or(Err(DiscoveryError::ResponseHeadTimeout))
     }
 
-    /// Makes a call at each [`OVERLAPPING_CALL_INTERVAL`] until one has a response, which is returned, or
-    /// until a call fails while no other is open; a call that times out is dropped and the next one follows.
-    /// Nothing tells whether a response is late or will never come.
+    /// Starts a call every [`OVERLAPPING_CALL_INTERVAL`], because a response that is late cannot be told from
+    /// one that will never arrive. Returns the first response, or the error of a call that fails while no
+    /// other call is open. A call that times out is dropped, and further calls are made.
     async fn call_overlapping(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         let mut calls = FuturesUnordered::new();
         loop {
@@ -124,13 +125,13 @@
                                 return Err(error);
                             }
                             self.log.warn(|skipped| {
-                                tracing::warn!(skipped, %error, "overlapping discovery call failed");
+                                tracing::warn!(skipped, %error, "overlapping call to discovery failed");
                             });
                         }
                         Err(_) => {
                             self.metrics.discovery_calls_failed.inc();
                             self.log.warn(|skipped| {
-                                tracing::warn!(skipped, "overlapping discovery call given up");
+                                tracing::warn!(skipped, "call to discovery given up: no response in time");
                             });
                         }
                     },
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,7 +1,7 @@
-//! The discovery client: the version of the endpoint list in use, and how new ones are fetched and read.
+//! The discovery client: fetches and reads endpoint lists and tracks the version of the one in use.
 
 use crate::discovery::call::{CallStrategy, DiscoveryCaller, DiscoveryResponse};
-use crate::discovery::endpoint_list::{EndpointListError, EndpointListReader, WatchEvent};
+use crate::discovery::endpoint_list::{EndpointListError, EndpointListReader, EndpointUpdate};
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::transfer::Transfer;
 use crate::metrics::Metrics;
@@ -18,38 +18,39 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout_at;
 
-/// Where discovery serves the endpoint list.
+/// Path at which discovery serves the endpoint list.
 pub(super) const LIST_PATH: &str = "/registry/instances";
-/// A fetched list of more bytes is an error, and so is a list of a watch that is still incomplete after so
-/// many.
+/// Size limit of an endpoint list. A longer response to a fetch is an error, and so is a list on a watch that
+/// is still incomplete after this many bytes.
 pub(super) const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
-/// How far the first list that a watch brings since the start has come.
+/// How much of the first endpoint list has arrived over a watch since the process started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FirstListProgress {
-    /// No watch has had a response.
+    /// No watch has received a response yet.
     Waiting,
-    /// A watch has a response, but no complete list has come.
+    /// A watch has received a response, but no complete list yet.
     Receiving,
-    /// An endpoint list, or changes of the one in use, have come. Final.
+    /// A watch has received an endpoint list, or changes to the one in use. This state is final.
     Received,
 }
 
-/// The client of one discovery service.
-pub struct Discovery {
+/// A client of the discovery service.
+pub struct DiscoveryClient {
     pub(super) caller: DiscoveryCaller,
     reader: EndpointListReader,
-    /// The version of the endpoint list in use; 0 if there is none.
+    /// Version of the endpoint list in use; 0 if there is none.
     version: Cell<u64>,
-    /// The task of the present watch, or of the last one.
+    /// Task that runs the current watch, or the last one. `None` until the first watch starts.
     watch_task: RefCell<Option<AbortHandle>>,
-    progress: watch::Sender<FirstListProgress>,
+    first_list_progress: watch::Sender<FirstListProgress>,
     pub(super) log: Rc<RateLimitedLog>,
     pub(super) metrics: Rc<Metrics>,
 }
 
-impl Discovery {
-    /// A client of discovery at an address. The names of the site turn zones and hardware models into ids.
+impl DiscoveryClient {
+    /// Creates a client of discovery at `address`. The names in `site` map the zones and hardware models of
+    /// endpoint lists to ids.
     pub fn new(address: SocketAddr, site: &Site, metrics: Rc<Metrics>) -> Self {
         let strategy =
             if site.settings.starts_watches { CallStrategy::Sequential } else { CallStrategy::Overlapping };
@@ -59,69 +60,73 @@
             reader: EndpointListReader::new(site.names.clone()),
             version: Cell::new(0),
             watch_task: RefCell::default(),
-            progress: watch::Sender::new(FirstListProgress::Waiting),
+            first_list_progress: watch::Sender::new(FirstListProgress::Waiting),
             log,
             metrics,
         }
     }
 
-    /// How far the first list that a watch brings has come.
-    pub fn progress(&self) -> watch::Receiver<FirstListProgress> {
-        self.progress.subscribe()
+    /// Returns a receiver that is notified whenever a watch receives data, until the first complete list.
+    pub fn first_list_progress(&self) -> watch::Receiver<FirstListProgress> {
+        self.first_list_progress.subscribe()
     }
 
-    /// Notifies those who wait for the first list that something has come.
-    pub(super) fn advance_progress(&self, to: FirstListProgress) {
-        self.progress.send_if_modified(|progress| {
+    /// Sets the progress of the first list and notifies its receivers, even if the progress is the same as
+    /// before. Does nothing once that list has been received.
+    pub(super) fn advance_first_list_progress(&self, new_progress: FirstListProgress) {
+        self.first_list_progress.send_if_modified(|progress| {
             if *progress == FirstListProgress::Received {
                 return false;
             }
-            *progress = to;
+            *progress = new_progress;
             true
         });
     }
 
-    /// The version of the endpoint list in use; 0 if there is none.
+    /// Returns the version of the endpoint list in use; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
 
-    /// Has the next watch begin with the whole list: changes of the one in use may have been missed.
+    /// Makes the next watch begin with the whole list, because changes to the one in use may have been
+    /// missed.
     pub(super) fn discard_version(&self) {
         self.version.set(0);
     }
 
-    /// Reads an endpoint list, or changes of the one in use, and adopts its version.
-    pub(super) fn read(&self, text: &[u8]) -> Result<WatchEvent, EndpointListError> {
-        let update = self.adopt(text)?;
+    /// Reads an update that discovery has sent, takes over its version and counts it in the metrics.
+    pub(super) fn read_received(&self, json: &[u8]) -> Result<EndpointUpdate, EndpointListError> {
+        let update = self.read_update(json)?;
         self.metrics.endpoint_lists.inc();
-        self.metrics.endpoint_list_bytes.inc_by(text.len() as u64);
+        self.metrics.endpoint_list_bytes.inc_by(json.len() as u64);
         Ok(update)
     }
 
-    /// Reads a list and adopts its version.
-    fn adopt(&self, text: &[u8]) -> Result<WatchEvent, EndpointListError> {
-        let list = self.reader.read(text)?;
-        self.version.set(list.version);
-        self.metrics.endpoint_list_version.set(list.version as i64);
-        self.log_list(&list.update, text.len());
-        Ok(list.update)
+    /// Reads an endpoint list, or changes to the one in use, and takes over its version.
+    fn read_update(&self, json: &[u8]) -> Result<EndpointUpdate, EndpointListError> {
+        let versioned = self.reader.read(json)?;
+        self.version.set(versioned.version);
+        self.metrics.endpoint_list_version.set(versioned.version as i64);
+        self.log_update(&versioned.update, json.len());
+        Ok(versioned.update)
     }
 
-    /// Reads the cached endpoint list of the configuration, as [`UpdateScope::Cached`]. One that is
-    /// unreadable is logged and counts as empty. It does not count as received from discovery.
-    pub fn read_cached(&self, text: &str) -> WatchEvent {
+    /// Reads the cached endpoint list of the configuration and returns it with [`UpdateScope::Cached`]. An
+    /// unreadable list is logged and counts as empty. The metrics do not count a cached list as received.
+    pub fn read_cached(&self, json: &str) -> EndpointUpdate {
         let mut entries = Vec::new();
-        if !text.is_empty() {
-            match self.adopt(text.as_bytes()) {
+        if !json.is_empty() {
+            match self.read_update(json.as_bytes()) {
                 Ok(update) => entries = update.entries,
-                Err(e) => tracing::warn!(error = %e, "cached endpoint list is unreadable"),
+                Err(e) => {
+                    tracing::warn!(error = %e, "cached endpoint list is unreadable and counts as empty")
+                }
             }
         }
-        WatchEvent { scope: UpdateScope::Cached, entries }
+        EndpointUpdate { scope: UpdateScope::Cached, entries }
     }
 
-    fn log_list(&self, update: &WatchEvent, bytes: usize) {
+    fn log_update(&self, update: &EndpointUpdate, bytes: usize) {
         let count = |availability| {
             update.entries.iter().filter(|endpoint| endpoint.state.availability == availability).count()
         };
@@ -136,32 +141,33 @@
         );
     }
 
-    /// Fetches the whole endpoint list. A failure is logged and returned as an update of
+    /// Fetches the whole endpoint list. A failure is logged and returned as an update with
     /// [`UpdateScope::Failed`].
-    pub async fn fetch(&self) -> WatchEvent {
+    pub async fn fetch(&self) -> EndpointUpdate {
         self.try_fetch().await.unwrap_or_else(|e| {
-            self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "endpoint list not fetched"));
-            WatchEvent::failed()
+            self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "endpoint list fetch failed"));
+            EndpointUpdate::failed()
         })
     }
 
-    async fn try_fetch(&self) -> Result<WatchEvent, DiscoveryError> {
+    async fn try_fetch(&self) -> Result<EndpointUpdate, DiscoveryError> {
         let DiscoveryResponse { connection: _connection, body } = self.caller.call(LIST_PATH).await?;
-        let text = read_list(body).await?;
-        let update = self.read(&text)?;
-        Ok(WatchEvent { scope: UpdateScope::Snapshot, ..update })
+        let json = receive_body(body).await?;
+        let update = self.read_received(&json)?;
+        Ok(EndpointUpdate { scope: UpdateScope::Snapshot, ..update })
     }
 
-    /// Makes later calls at another address. The endpoint list in use and its version stay.
+    /// Directs later calls to `address`. The endpoint list in use and its version are kept.
     ///
-    /// Returns whether a watch has to be begun anew: the address is a new one, and a watch was ever begun.
-    /// [`Discovery::replace_watch_task`] then aborts the old watch without an event, so that a planned move
-    /// does not count as a failure and nothing that the old address sends later overrides the new one.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
+    /// Returns whether the caller has to start a new watch: the address differs from the previous one, and a
+    /// watch has been started before. [`DiscoveryClient::replace_watch_task`] then aborts the old watch
+    /// without an event, so that a planned change of the address does not count as a failure, and nothing
+    /// that the old address sends later overrides what the new one sends.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         self.caller.set_address(address) && self.watch_task.borrow().is_some()
     }
 
-    /// Remembers the task of the present watch and aborts the one before.
+    /// Stores the task that runs the current watch and aborts the previous one.
     pub fn replace_watch_task(&self, task: AbortHandle) {
         if let Some(previous) = self.watch_task.borrow_mut().replace(task) {
             previous.abort();
@@ -169,16 +175,17 @@
     }
 }
 
-/// Reads the body of a fetched list, as long as it keeps arriving.
-async fn read_list(body: Incoming) -> Result<BytesMut, DiscoveryError> {
+/// Receives the response body of a fetch, up to [`MAX_LIST_BYTES`] and within the time that [`Transfer`]
+/// allows.
+async fn receive_body(body: Incoming) -> Result<BytesMut, DiscoveryError> {
     let mut body = Limited::new(body, MAX_LIST_BYTES);
-    let mut text = BytesMut::new();
+    let mut received = BytesMut::new();
     let mut transfer = Transfer::begin(0);
     loop {
-        let received = timeout_at(transfer.gives_up_at(), body.frame()).await;
-        let Some(frame) = received.map_err(|_| DiscoveryError::BodyTimeout)? else { return Ok(text) };
+        let frame = timeout_at(transfer.deadline(), body.frame()).await;
+        let Some(frame) = frame.map_err(|_| DiscoveryError::BodyTimeout)? else { return Ok(received) };
         let Ok(data) = frame.map_err(DiscoveryError::Body)?.into_data() else { continue };
         transfer.record(data.len());
-        text.extend_from_slice(&data);
+        received.extend_from_slice(&data);
     }
 }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in the wire format of discovery, read into the types of the balancer.
+//! Reads endpoint lists in the wire format of discovery into the types of the balancer.
 
 #[cfg(test)]
 mod tests;
@@ -12,73 +12,75 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The zone of an upstream that states none, or one that the settings do not name.
+/// Zone of an upstream whose entry states no zone, or one that the settings do not name.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
-/// The hardware of an upstream that states none, or one that the settings do not name.
+/// Hardware model of an upstream whose entry states no model, or one that the settings do not name.
 const UNKNOWN_HARDWARE: HardwareId = HardwareId(u16::MAX);
-/// The cell of an upstream whose entry is unreadable.
+/// Cell of an upstream whose entry is unreadable.
 const UNKNOWN_CELL: CellId = CellId(u16::MAX);
-/// The weight of an upstream that states none.
+/// Weight of an upstream whose entry states no weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One upstream in an endpoint list.
+/// An entry of an endpoint list: one upstream and what the list states about it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its id, a hash of its uid alone: the same at every balancer, whatever its address.
+    /// Hash of the uid alone. It is the same at every balancer and does not depend on the address.
     pub id: UpstreamId,
-    /// Its zone.
+    /// Zone it runs in; [`UNKNOWN_ZONE`] if the entry names none that the settings know.
     pub zone: ZoneId,
-    /// Its hardware model.
+    /// Hardware model it runs on; [`UNKNOWN_HARDWARE`] if the entry names none that the settings know.
     pub hardware: HardwareId,
-    /// Its cell.
+    /// Cell it belongs to; 0 if the entry states none, [`UNKNOWN_CELL`] if the entry is unreadable.
     pub cell: CellId,
-    /// Its weight.
+    /// Weight as the list states it, to be read as
+    /// [`Settings::weight_kind`](balancer_core::Settings::weight_kind) says; [`DEFAULT_WEIGHT`] if the entry
+    /// states none.
     pub weight: f64,
-    /// Its address, availability and start.
+    /// Address, availability and start time of its process.
     pub state: EndpointState,
 }
 
-/// An update of the endpoint list, from a watch or the configuration, or the failure of a call.
+/// An update of the endpoint list from discovery or the configuration, or the failure of a call to discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WatchEvent {
-    /// How complete it is.
+pub struct EndpointUpdate {
+    /// Whether the entries are the whole list or only changes to it, or whether there is no update at all.
     pub scope: UpdateScope,
-    /// The entries.
+    /// Entries of the list, in its order; empty after a failure.
     pub entries: Vec<DiscoveredEndpoint>,
 }
 
-impl WatchEvent {
-    /// The failure of a call, or the end of a watch.
+impl EndpointUpdate {
+    /// Creates the update that reports a failed call or the end of a watch.
     pub fn failed() -> Self {
         Self { scope: UpdateScope::Failed, entries: Vec::new() }
     }
 }
 
-/// An endpoint list, or changes of one, with its version.
-pub struct EndpointList {
-    /// The version.
+/// An endpoint list, or changes to one, together with the version of the list.
+pub struct VersionedUpdate {
+    /// Version of the list that results from the update; set by discovery.
     pub version: u64,
-    /// The scope and the entries.
-    pub update: WatchEvent,
+    /// Scope and entries; the scope is either a snapshot or a delta.
+    pub update: EndpointUpdate,
 }
 
-/// A text that is not an endpoint list.
+/// The error for a text that is not an endpoint list.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct EndpointListError(#[from] serde_json::Error);
 
-/// Why an entry of a list is not used as it is.
+/// The reason why an entry of a list is unreadable.
 #[derive(Debug, Error)]
 enum EntryError {
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    #[error("{uid}: unknown state {state:?}")]
+    #[error("entry of {uid} has the unknown state {state:?}")]
     UnknownState { uid: String, state: String },
-    #[error("{uid}: no address")]
+    #[error("entry of {uid} is ready but has no readable address")]
     NoAddress { uid: String },
 }
 
-/// A list as it is on the wire.
+/// An endpoint list in the wire format.
 #[derive(Deserialize)]
 struct RawList<'a> {
     #[serde(rename = "rev")]
@@ -89,7 +91,7 @@
     entries: Vec<&'a RawValue>,
 }
 
-/// An entry as it is on the wire.
+/// An entry of an endpoint list in the wire format.
 #[derive(Deserialize)]
 struct RawEntry<'a> {
     uid: String,
@@ -108,48 +110,50 @@
     started_at_unix_ms: Option<f64>,
 }
 
-/// The part of an entry that says which upstream it is about.
+/// The part of an entry that identifies its upstream.
 #[derive(Deserialize)]
 struct RawIdentity {
     uid: String,
 }
 
-/// Reads endpoint lists.
+/// A reader of endpoint lists that maps names of zones and hardware models to ids.
 pub struct EndpointListReader {
     names: SiteNames,
     log: RateLimitedLog,
 }
 
 impl EndpointListReader {
-    /// A reader that turns these names of zones and hardware models into ids.
+    /// Creates a reader. The id of a zone or hardware model is its position in `names`.
     pub fn new(names: SiteNames) -> Self {
         Self { names, log: RateLimitedLog::default() }
     }
 
-    /// Reads a list; fails if the text is none. An entry that is unreadable but for its uid counts as
-    /// draining, so that nothing is sent to that upstream; one without a readable uid is skipped. Both are
-    /// logged.
-    pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
-        let raw: RawList<'_> = serde_json::from_slice(text)?;
+    /// Reads an endpoint list, or changes to one; fails if `json` is neither. An unreadable entry is logged.
+    /// Its upstream counts as draining, so that nothing new is sent to it; if not even the uid is readable,
+    /// the entry is skipped.
+    pub fn read(&self, json: &[u8]) -> Result<VersionedUpdate, EndpointListError> {
+        let raw: RawList<'_> = serde_json::from_slice(json)?;
         let entries = raw.entries.iter().filter_map(|entry| self.read_entry_or_draining(entry.get()));
         let entries = entries.collect();
         let scope = if raw.is_snapshot { UpdateScope::Snapshot } else { UpdateScope::Delta };
-        Ok(EndpointList { version: raw.version, update: WatchEvent { scope, entries } })
+        Ok(VersionedUpdate { version: raw.version, update: EndpointUpdate { scope, entries } })
     }
 
-    fn read_entry_or_draining(&self, text: &str) -> Option<DiscoveredEndpoint> {
-        match self.read_entry(text) {
+    fn read_entry_or_draining(&self, json: &str) -> Option<DiscoveredEndpoint> {
+        match self.read_entry(json) {
             Ok(endpoint) => Some(endpoint),
             Err(e) => {
-                self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "unreadable list entry"));
-                draining_endpoint(text)
+                self.log.warn(
+                    |skipped| tracing::warn!(skipped, error = %e, "unreadable entry in an endpoint list"),
+                );
+                draining_endpoint(json)
             }
         }
     }
 
-    fn read_entry(&self, text: &str) -> Result<DiscoveredEndpoint, EntryError> {
-        let raw: RawEntry<'_> = serde_json::from_str(text)?;
-        let Some(availability) = availability(&raw.state) else {
+    fn read_entry(&self, json: &str) -> Result<DiscoveredEndpoint, EntryError> {
+        let raw: RawEntry<'_> = serde_json::from_str(json)?;
+        let Some(availability) = availability_of_state(&raw.state) else {
             return Err(EntryError::UnknownState { uid: raw.uid, state: raw.state });
         };
         let address: Option<SocketAddr> =
@@ -157,12 +161,12 @@
         if address.is_none() && availability == Availability::Ready {
             return Err(EntryError::NoAddress { uid: raw.uid });
         }
-        let zone = position(&self.names.zones, raw.zone.as_deref());
-        let hardware = position(&self.names.hardware, raw.hardware.as_deref());
+        let zone_index = name_index(&self.names.zones, raw.zone.as_deref());
+        let hardware_index = name_index(&self.names.hardware, raw.hardware.as_deref());
         Ok(DiscoveredEndpoint {
             id: stable_id(&raw.uid),
-            zone: zone.map_or(UNKNOWN_ZONE, |index| ZoneId(index as u8)),
-            hardware: hardware.map_or(UNKNOWN_HARDWARE, |index| HardwareId(index as u16)),
+            zone: zone_index.map_or(UNKNOWN_ZONE, |index| ZoneId(index as u8)),
+            hardware: hardware_index.map_or(UNKNOWN_HARDWARE, |index| HardwareId(index as u16)),
             cell: CellId(raw.cell.unwrap_or_default() as u16),
             weight: raw.weight.unwrap_or(DEFAULT_WEIGHT),
             state: EndpointState {
@@ -174,8 +178,8 @@
     }
 }
 
-/// The availability that a state on the wire stands for.
-fn availability(state: &str) -> Option<Availability> {
+/// Returns the availability that a state in the wire format stands for; `None` if the state is unknown.
+fn availability_of_state(state: &str) -> Option<Availability> {
     match state {
         "Ready" => Some(Availability::Ready),
         "Terminating" => Some(Availability::Draining),
@@ -184,14 +188,14 @@
     }
 }
 
-/// The position of a name in the settings.
-fn position(names: &[String], name: Option<&str>) -> Option<usize> {
+/// Returns the position of `name` in `names`; `None` if it is not given or not in there.
+fn name_index(names: &[String], name: Option<&str>) -> Option<usize> {
     names.iter().position(|candidate| Some(candidate.as_str()) == name)
 }
 
-/// The upstream of an entry of which only the uid is readable.
-fn draining_endpoint(text: &str) -> Option<DiscoveredEndpoint> {
-    let identity: RawIdentity = serde_json::from_str(text).ok()?;
+/// Returns a draining upstream for an unreadable entry; `None` if not even its uid is readable.
+fn draining_endpoint(json: &str) -> Option<DiscoveredEndpoint> {
+    let identity: RawIdentity = serde_json::from_str(json).ok()?;
     Some(DiscoveredEndpoint {
         id: stable_id(&identity.uid),
         zone: UNKNOWN_ZONE,
@@ -202,7 +206,7 @@
     })
 }
 
-/// Hashes a uid by FNV-1a, so that every process, build and machine has the same id for it.
+/// Hashes a uid by 64-bit FNV-1a, so that every process, build and machine derives the same id from it.
 fn stable_id(uid: &str) -> UpstreamId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/proxy/src/discovery/endpoint_list/tests.rs
+++ b/crates/proxy/src/discovery/endpoint_list/tests.rs
@@ -6,7 +6,7 @@
     EndpointListReader::new(SiteNames { classes: Vec::new(), tenants: Vec::new(), zones, hardware })
 }
 
-/// Reads a list with these entries.
+/// Reads a list with these entries, given as JSON objects separated by commas.
 fn read_entries(entries: &str) -> Vec<DiscoveredEndpoint> {
     let text = format!(r#"{{"rev":4,"all":true,"targets":[{entries}]}}"#);
     reader().read(text.as_bytes()).unwrap().update.entries
@@ -16,21 +16,21 @@
 fn a_list_states_its_version_and_whether_it_is_complete() {
     let snapshot = reader().read(br#"{"rev":4,"all":true,"targets":[]}"#).unwrap();
     assert_eq!(snapshot.version, 4);
-    assert_eq!(snapshot.update, WatchEvent { scope: UpdateScope::Snapshot, entries: Vec::new() });
+    assert_eq!(snapshot.update, EndpointUpdate { scope: UpdateScope::Snapshot, entries: Vec::new() });
     let delta = reader().read(br#"{"rev":5,"targets":[]}"#).unwrap();
     assert_eq!(delta.version, 5);
-    assert_eq!(delta.update, WatchEvent { scope: UpdateScope::Delta, entries: Vec::new() });
+    assert_eq!(delta.update, EndpointUpdate { scope: UpdateScope::Delta, entries: Vec::new() });
 }
 
 #[test]
-fn a_text_that_is_no_list_is_an_error() {
+fn a_text_that_is_not_an_endpoint_list_is_an_error() {
     for text in ["", "[]", "{}", r#"{"rev":"4","targets":[]}"#, r#"{"rev":4}"#] {
         assert!(reader().read(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
-fn an_entry_is_mapped_to_the_terms_of_the_balancer() {
+fn an_entry_is_mapped_to_the_types_of_the_balancer() {
     let entries = read_entries(
         r#"{"uid":"s-0","endpoint":"127.0.0.1:80","state":"Ready","az":"b","model":"m1","pod_group":7,
             "capacity_hint":1.5,"boot_ms":1700000000000}"#,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_entry_may_leave_out_all_but_its_uid_state_and_address() {
+fn fields_missing_from_an_entry_get_default_values() {
     let entries = read_entries(r#"{"uid":"s-0","endpoint":"127.0.0.1:80","state":"Ready"}"#);
     assert_eq!(entries[0].zone, UNKNOWN_ZONE);
     assert_eq!(entries[0].hardware, UNKNOWN_HARDWARE);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn states_map_to_availabilities() {
+fn each_state_maps_to_its_availability() {
     let states = [
         ("Ready", Availability::Ready),
         ("Terminating", Availability::Draining),
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn ids_are_the_same_in_every_build() {
-    // Test vectors of 64-bit FNV-1a.
+fn ids_are_the_fnv_1a_hashes_of_uids() {
+    // Published test vectors of 64-bit FNV-1a. The ids have to be the same in every build.
     assert_eq!(stable_id(""), UpstreamId(0xcbf2_9ce4_8422_2325));
     assert_eq!(stable_id("a"), UpstreamId(0xaf63_dc4c_8601_ec8c));
     assert_eq!(stable_id("foobar"), UpstreamId(0x8594_4171_f739_67e8));
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why calls to discovery fail.
+//! Errors of calls to discovery and of watches.
 
 use crate::discovery::endpoint_list::EndpointListError;
 use crate::discovery::json_stream::SplitError;
@@ -7,37 +7,37 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a call to discovery, or a watch, has failed.
+/// The reason why a call to discovery or a watch failed.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// No connection was established.
-    #[error("no connection: {0}")]
+    /// The connection to discovery was not established.
+    #[error("connection to discovery failed: {0}")]
     Connect(#[source] io::Error),
     /// The request could not be built.
-    #[error("invalid request: {0}")]
+    #[error("request to discovery could not be built: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The exchange failed before the head of the response, or within the body of a watch.
-    #[error("exchange failed: {0}")]
+    /// The HTTP exchange failed before the head of the response, or within the body of a watch.
+    #[error("HTTP exchange with discovery failed: {0}")]
     Http(#[from] hyper::Error),
-    /// The head of the response did not come in time; a connection may not have been established either.
-    #[error("no response in time")]
+    /// The head of the response did not arrive in time. Possibly, not even the connection was established.
+    #[error("no response from discovery in time")]
     ResponseHeadTimeout,
     /// The response has a status other than 200.
-    #[error("status {0}")]
+    #[error("discovery responded with status {0}")]
     Status(StatusCode),
-    /// The body of a fetched list broke off or is too long.
-    #[error("body of the response: {0}")]
+    /// The response body of a fetch broke off or is too long.
+    #[error("response body of the fetch is unreadable: {0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// The body of a fetched list stalled, or arrived too slowly.
-    #[error("body of the response stalled or too slow")]
+    /// The response body of a fetch stalled or arrived too slowly.
+    #[error("response body of the fetch stalled or arrived too slowly")]
     BodyTimeout,
-    /// A watch has sent neither a list nor an empty line for too long, or a list arrives too slowly.
-    #[error("watch silent or too slow for too long")]
-    WatchSilent,
-    /// The stream of a watch is not a sequence of JSON objects.
-    #[error("unreadable stream: {0}")]
+    /// Neither a list nor an empty line arrived on a watch in time, or a list arrived too slowly.
+    #[error("watch was silent for too long, or a list on it arrived too slowly")]
+    WatchTimeout,
+    /// The response body of a watch is not a sequence of JSON objects.
+    #[error("response body of the watch is unreadable: {0}")]
     Split(#[from] SplitError),
-    /// A JSON object is not an endpoint list.
-    #[error("unreadable list: {0}")]
+    /// A JSON object from discovery is not an endpoint list.
+    #[error("endpoint list is unreadable: {0}")]
     EndpointList(#[from] EndpointListError),
 }
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -1,8 +1,8 @@
-//! Splits a stream of bytes into the JSON objects that follow each other in it.
+//! Splits a stream of bytes into the JSON objects that it consists of.
 //!
-//! The end of a line is not the end of an object, as objects may be indented, and chunks end anywhere, within
-//! a number too. An incremental parser follows the bytes: it sees each of them once, and tells an object that
-//! is incomplete from one that is malformed.
+//! A line end does not delimit objects, because an object may span several lines. A chunk of the stream may
+//! end anywhere, even within a number. So an incremental parser reads the bytes: it reads each of them only
+//! once, and it distinguishes an incomplete object from a malformed one.
 
 #[cfg(test)]
 mod tests;
@@ -13,55 +13,55 @@
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Why a stream cannot be split.
+/// The reason why a stream cannot be split.
 #[derive(Debug, Error)]
 pub enum SplitError {
-    /// Something other than an object or white space.
-    #[error("byte {0:#04x} outside of any object")]
+    /// A byte between two objects is not white space.
+    #[error("unexpected byte {0:#04x} outside of any JSON object")]
     OutsideOfObject(u8),
-    /// Malformed JSON.
-    #[error("at byte {offset}: {source}")]
+    /// An object is malformed JSON.
+    #[error("malformed JSON object at byte {offset}: {source}")]
     Json {
-        /// How many bytes of the object were parsed.
+        /// Number of bytes of the object that were parsed.
         offset: usize,
-        /// What is wrong.
+        /// Error of the parser.
         source: ParserError,
     },
-    /// An object that is incomplete after more bytes than allowed.
-    #[error("an object of more than {0} bytes")]
+    /// An object is still incomplete after the maximum number of bytes, which is the value.
+    #[error("JSON object is longer than {0} bytes")]
     TooLong(usize),
 }
 
-/// An item of a stream.
+/// One item of a stream.
 #[derive(Debug, PartialEq)]
 pub enum StreamItem {
-    /// A complete object.
+    /// The text of a complete object.
     Object(Bytes),
-    /// The end of a line outside of any object.
+    /// A line end outside of any object.
     LineEnd,
 }
 
-/// An object that is incomplete.
-struct OpenObject {
+/// The parser state of an object that is still incomplete.
+struct IncompleteObject {
     parser: JsonParser<PushJsonFeeder>,
-    /// How many bytes of the buffer the parser has been given.
-    fed: usize,
-    /// How many objects and arrays are open.
+    /// Number of bytes at the start of the buffer that the parser has already been given.
+    fed_bytes: usize,
+    /// Number of objects and arrays that are open, nested ones included.
     depth: usize,
 }
 
-/// Splits one stream.
+/// A splitter of one stream of JSON objects.
 pub struct JsonStream {
-    /// What has not been returned as an item. Where an object is open, it begins with that object.
+    /// Bytes that have not been returned as an item yet. If an object is incomplete, they begin with it.
     buffer: BytesMut,
-    open_object: Option<OpenObject>,
+    incomplete_object: Option<IncompleteObject>,
     max_object_bytes: usize,
 }
 
 impl JsonStream {
-    /// A stream in which an object that is incomplete after `max_object_bytes` bytes is an error.
+    /// Creates a splitter that fails on an object that is still incomplete after `max_object_bytes` bytes.
     pub fn new(max_object_bytes: usize) -> Self {
-        Self { buffer: BytesMut::new(), open_object: None, max_object_bytes }
+        Self { buffer: BytesMut::new(), incomplete_object: None, max_object_bytes }
     }
 
     /// Adds the next chunk of the stream.
@@ -69,18 +69,18 @@
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// Whether an object has begun that is incomplete.
+    /// Returns whether an object has begun that is still incomplete.
     pub fn is_within_object(&self) -> bool {
-        self.open_object.is_some()
+        self.incomplete_object.is_some()
     }
 
-    /// Returns the next item, or `None` if it takes another chunk. After an error the stream cannot be used
-    /// any more.
+    /// Returns the next item, or `None` if that requires another chunk. After an error, the splitter cannot
+    /// be used any more.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, SplitError> {
-        while self.open_object.is_none() {
+        while self.incomplete_object.is_none() {
             let Some(&first) = self.buffer.first() else { return Ok(None) };
             match first {
-                b'{' => self.open_object = Some(OpenObject::new()),
+                b'{' => self.incomplete_object = Some(IncompleteObject::new()),
                 b'\n' => {
                     self.buffer.advance(1);
                     return Ok(Some(StreamItem::LineEnd));
@@ -89,33 +89,33 @@
                 other => return Err(SplitError::OutsideOfObject(other)),
             }
         }
-        let Some(open_object) = &mut self.open_object else { return Ok(None) };
-        let Some(length) = open_object.parse(&self.buffer)? else {
+        let Some(incomplete_object) = &mut self.incomplete_object else { return Ok(None) };
+        let Some(length) = incomplete_object.parse(&self.buffer)? else {
             if self.buffer.len() > self.max_object_bytes {
                 return Err(SplitError::TooLong(self.max_object_bytes));
             }
             return Ok(None);
         };
-        self.open_object = None;
+        self.incomplete_object = None;
         Ok(Some(StreamItem::Object(self.buffer.split_to(length).freeze())))
     }
 }
 
-impl OpenObject {
+impl IncompleteObject {
     fn new() -> Self {
-        Self { parser: JsonParser::new(PushJsonFeeder::new()), fed: 0, depth: 0 }
+        Self { parser: JsonParser::new(PushJsonFeeder::new()), fed_bytes: 0, depth: 0 }
     }
 
-    /// Parses what has been added to the buffer, which begins with the object. Returns the length of the
-    /// object once it is complete.
+    /// Parses the bytes that have been added to `buffer` since the last call. The buffer begins with the
+    /// object. Returns the length of the object in bytes once it is complete.
     fn parse(&mut self, buffer: &[u8]) -> Result<Option<usize>, SplitError> {
         loop {
             let event = self.parser.next_event();
             let offset = self.parser.parsed_bytes();
             match event.map_err(|source| SplitError::Json { offset, source })? {
-                Some(JsonEvent::NeedMoreInput) if self.fed == buffer.len() => return Ok(None),
+                Some(JsonEvent::NeedMoreInput) if self.fed_bytes == buffer.len() => return Ok(None),
                 Some(JsonEvent::NeedMoreInput) => {
-                    self.fed += self.parser.feeder.push_bytes(&buffer[self.fed..]);
+                    self.fed_bytes += self.parser.feeder.push_bytes(&buffer[self.fed_bytes..]);
                 }
                 Some(JsonEvent::StartObject | JsonEvent::StartArray) => self.depth += 1,
                 Some(JsonEvent::EndObject | JsonEvent::EndArray) => {
--- a/crates/proxy/src/discovery/json_stream/tests.rs
+++ b/crates/proxy/src/discovery/json_stream/tests.rs
@@ -2,7 +2,7 @@
 
 const MAX_OBJECT_BYTES: usize = 64;
 
-/// All items of a stream that comes in chunks of this length.
+/// Returns all items of a stream that arrives in chunks of `chunk_length` bytes.
 fn split(text: &[u8], chunk_length: usize) -> Result<Vec<StreamItem>, SplitError> {
     let mut stream = JsonStream::new(MAX_OBJECT_BYTES);
     let mut items = Vec::new();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn objects_and_line_ends_are_split_whatever_the_chunks() {
+fn objects_and_line_ends_are_split_for_every_chunk_length() {
     let text = "{\"a\": [1, {}]}\n\n {\n  \"b\": \"}{\\\"\"\n}{}";
     for chunk_length in 1..=text.len() {
         let items = split(text.as_bytes(), chunk_length).unwrap();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_incomplete_object_is_no_item() {
+fn an_object_is_returned_only_once_it_is_complete() {
     let mut stream = JsonStream::new(MAX_OBJECT_BYTES);
     assert!(!stream.is_within_object());
     stream.push(b"{\"a\": 1");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_no_object_is_an_error() {
+fn malformed_json_and_bytes_outside_of_objects_are_errors() {
     assert!(matches!(split(b"{}x", 1), Err(SplitError::OutsideOfObject(b'x'))));
     assert!(matches!(split(b"[]", 2), Err(SplitError::OutsideOfObject(b'['))));
     assert!(matches!(split(b"{\"a\": ]", 7), Err(SplitError::Json { .. })));
@@ -56,6 +56,6 @@
 
 #[test]
 fn an_object_incomplete_after_too_many_bytes_is_an_error() {
-    let endless = [b"{\"a\": \"".as_slice(), &[b'x'; MAX_OBJECT_BYTES]].concat();
-    assert!(matches!(split(&endless, 8), Err(SplitError::TooLong(MAX_OBJECT_BYTES))));
+    let unterminated = [b"{\"a\": \"".as_slice(), &[b'x'; MAX_OBJECT_BYTES]].concat();
+    assert!(matches!(split(&unterminated, 8), Err(SplitError::TooLong(MAX_OBJECT_BYTES))));
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,14 +1,19 @@
 //! Service discovery: reads the endpoint list and follows its changes by a watch.
 //!
-//! A change of the list *counts as delivered* from the moment at which this balancer is held to know of it (and so to
-//! send nothing new to an upstream that drains, for instance), even if this process has not read it:
+//! A change to the list *counts as delivered* from the moment at which this balancer is expected to know of
+//! it and to act on it (for instance, to send nothing new to a draining upstream), even if this process has
+//! not read it. That moment depends on how discovery distributes its list:
 //!
-//! - Where discovery pushes its list to an agent on this machine (`Settings::starts_watches` is `false`): once the agent
-//!   has the change, whether or not a watch is open. After a move of discovery by SIGHUP, 4 s later.
-//! - Elsewhere: once discovery has written the change to this balancer. Without a watch, a balancer that has not called
-//!   for `Settings::poll_interval` (longer after a failed call) is also held to know what was listed that long ago.
-//! - In both cases at the latest 6 s after the watch that misses it fell silent, and at the latest 6 s after discovery
-//!   had the change and could be reached.
+//! - Discovery pushes its list to an agent on this machine
+//!   ([`Settings::starts_watches`](balancer_core::Settings::starts_watches) is `false`): a change counts as
+//!   delivered once the agent has it, whether or not a watch is open. After a SIGHUP that changes the address
+//!   of discovery, it counts as delivered 4 s later.
+//! - Discovery is called over the network: a change counts as delivered once discovery has written it to this
+//!   balancer. A balancer that has no watch and has not called for
+//!   [`Settings::poll_interval`](balancer_core::Settings::poll_interval) (longer after a failed call) is also
+//!   expected to know what was listed that long ago.
+//! - In both cases, a change counts as delivered at the latest 6 s after the watch that misses it fell
+//!   silent, and at the latest 6 s after discovery had the change and could be reached.
 
 pub mod backoff;
 mod call;
--- a/crates/proxy/src/discovery/transfer.rs
+++ b/crates/proxy/src/discovery/transfer.rs
@@ -1,7 +1,7 @@
-//! How long an endpoint list may take to arrive.
+//! The time that an endpoint list may take to arrive.
 //!
-//! A list that keeps arriving is followed to its end. It is given up once nothing has arrived for
-//! [`SILENCE_TIMEOUT`], once its mean rate is under [`MIN_BYTES_PER_SECOND`], or after [`MAX_TRANSFER_TIME`].
+//! A list is received as long as it keeps arriving. It is given up once nothing has arrived for
+//! [`SILENCE_TIMEOUT`], once its mean rate is below [`MIN_BYTES_PER_SECOND`], or after [`MAX_TRANSFER_TIME`].
 
 #[cfg(test)]
 mod tests;
@@ -9,43 +9,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Discovery that sends nothing for this long has failed, whatever the state of its connection: it sends at
-/// least an empty line every 2 s. A change counts as delivered (see [`discovery`](crate::discovery)) at the
-/// latest 6 s after a watch fell silent, which leaves time to find out, to find the same of the next watch,
-/// and to begin a third.
+/// Time without any data after which discovery counts as failed, even if its connection is still open. A
+/// healthy discovery sends at least an empty line every 2 s. A change counts as delivered (see
+/// [`discovery`](crate::discovery)) at the latest 6 s after a watch fell silent: long enough to time out on
+/// this watch and on a second silent one, and to start a third.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The least mean rate of a list, beyond [`SILENCE_TIMEOUT`]. Half of what a list of 3,200 upstreams (480 KB)
-/// needs to arrive in 8 s; a list that trickles in hardly takes longer than silence.
+/// Minimum mean rate of a list; [`SILENCE_TIMEOUT`] is added to the time that this rate allows. It is about
+/// half the rate at which a list of 3,200 upstreams (480 KB) arrives in 8 s. A list that trickles in is given
+/// up hardly later than a silent one.
 const MIN_BYTES_PER_SECOND: f64 = 32.0 * 1024.0;
-/// The longest time for one list: a list without an end must not hide changes for ever.
+/// Maximum time for one list, so that a list without an end does not hide later changes forever.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(10);
 
-/// The arrival of one list.
+/// The state of one list that is arriving.
 #[derive(Clone, Copy)]
 pub(super) struct Transfer {
     began_at: Instant,
     last_bytes_at: Instant,
-    bytes: usize,
+    received_bytes: usize,
 }
 
 impl Transfer {
-    /// A list whose first bytes have just arrived, or which has just been called for.
-    pub(super) fn begin(bytes: usize) -> Self {
+    /// Starts to time a list of which the first `received_bytes` have just arrived; 0 if only the head of the
+    /// response has.
+    pub(super) fn begin(received_bytes: usize) -> Self {
         let now = Instant::now();
-        Self { began_at: now, last_bytes_at: now, bytes }
+        Self { began_at: now, last_bytes_at: now, received_bytes }
     }
 
-    /// Notes that more bytes have arrived.
+    /// Records that this many more bytes have just arrived.
     pub(super) fn record(&mut self, bytes: usize) {
         self.last_bytes_at = Instant::now();
-        self.bytes += bytes;
+        self.received_bytes += bytes;
     }
 
-    /// When the list is given up if nothing more arrives.
-    pub(super) fn gives_up_at(&self) -> Instant {
-        let earned = Duration::from_secs_f64(self.bytes as f64 / MIN_BYTES_PER_SECOND);
-        let too_slow_at = self.began_at + SILENCE_TIMEOUT + earned;
-        let silent_at = self.last_bytes_at + SILENCE_TIMEOUT;
-        silent_at.min(too_slow_at).min(self.began_at + MAX_TRANSFER_TIME)
+    /// Returns the time at which the list is given up unless more of it arrives.
+    pub(super) fn deadline(&self) -> Instant {
+        let time_at_min_rate = Duration::from_secs_f64(self.received_bytes as f64 / MIN_BYTES_PER_SECOND);
+        let rate_deadline = self.began_at + SILENCE_TIMEOUT + time_at_min_rate;
+        let silence_deadline = self.last_bytes_at + SILENCE_TIMEOUT;
+        silence_deadline.min(rate_deadline).min(self.began_at + MAX_TRANSFER_TIME)
     }
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,18 +1,18 @@
-//! The watch: a response of discovery that never ends, in which it sends each change of the endpoint list.
+//! The watch: a response of discovery without an end, in which it sends each change to the endpoint list.
 
 use crate::discovery::call::DiscoveryResponse;
-use crate::discovery::client::{Discovery, FirstListProgress, LIST_PATH, MAX_LIST_BYTES};
-use crate::discovery::endpoint_list::WatchEvent;
+use crate::discovery::client::{DiscoveryClient, FirstListProgress, LIST_PATH, MAX_LIST_BYTES};
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::json_stream::{JsonStream, StreamItem};
 use crate::discovery::transfer::{SILENCE_TIMEOUT, Transfer};
 use http_body_util::BodyExt;
 use tokio::time::{Instant, timeout_at};
 
-impl Discovery {
-    /// Watches the endpoint list from the version in use on, until the watch ends or fails, which is logged.
-    /// Each update that comes is passed to `deliver`.
-    pub async fn watch(&self, deliver: impl FnMut(WatchEvent)) {
+impl DiscoveryClient {
+    /// Watches the endpoint list from the version in use onwards and passes each update to `deliver`. Returns
+    /// once the watch has ended or failed, and logs which of them happened.
+    pub async fn watch(&self, deliver: impl FnMut(EndpointUpdate)) {
         let result = self.receive_updates(deliver).await;
         self.metrics.watches_ended.inc();
         match result {
@@ -23,26 +23,25 @@
         }
     }
 
-    async fn receive_updates(&self, mut deliver: impl FnMut(WatchEvent)) -> Result<(), DiscoveryError> {
+    async fn receive_updates(&self, mut deliver: impl FnMut(EndpointUpdate)) -> Result<(), DiscoveryError> {
         let target = format!("{LIST_PATH}?stream=1&index={}", self.version());
         let DiscoveryResponse { connection: _connection, mut body } = self.caller.call(&target).await?;
-        self.advance_progress(FirstListProgress::Receiving);
+        self.advance_first_list_progress(FirstListProgress::Receiving);
         let mut messages = JsonStream::new(MAX_LIST_BYTES);
         let mut last_message_at = Instant::now();
-        // The list that has begun to arrive.
+        // The list that has arrived in part, if there is one.
         let mut transfer: Option<Transfer> = None;
         loop {
-            let gives_up_at =
-                transfer.map_or(last_message_at + SILENCE_TIMEOUT, |transfer| transfer.gives_up_at());
+            let deadline = transfer.map_or(last_message_at + SILENCE_TIMEOUT, |transfer| transfer.deadline());
             let received =
-                timeout_at(gives_up_at, body.frame()).await.map_err(|_| DiscoveryError::WatchSilent)?;
+                timeout_at(deadline, body.frame()).await.map_err(|_| DiscoveryError::WatchTimeout)?;
             let Some(frame) = received else { return Ok(()) };
             let Ok(data) = frame?.into_data() else { continue };
-            self.advance_progress(FirstListProgress::Receiving);
+            self.advance_first_list_progress(FirstListProgress::Receiving);
             messages.push(&data);
             let received_message = self
                 .deliver_complete_messages(&mut messages, &mut deliver)
-                // An unreadable message may have been a drain.
+                // The unreadable message may have announced a drain, which the next watch must not miss.
                 .inspect_err(|_| self.discard_version())?;
             if received_message {
                 last_message_at = Instant::now();
@@ -57,18 +56,19 @@
         }
     }
 
-    /// Delivers all lists that are complete. Returns whether a message has come: a list or an empty line.
+    /// Delivers all updates that have arrived completely. Returns whether there was any message: an update or
+    /// a line end.
     fn deliver_complete_messages(
         &self,
         messages: &mut JsonStream,
-        deliver: &mut impl FnMut(WatchEvent),
+        deliver: &mut impl FnMut(EndpointUpdate),
     ) -> Result<bool, DiscoveryError> {
         let mut received_message = false;
         while let Some(item) = messages.next_item()? {
             received_message = true;
-            if let StreamItem::Object(text) = item {
-                deliver(self.read(&text)?);
-                self.advance_progress(FirstListProgress::Received);
+            if let StreamItem::Object(json) = item {
+                deliver(self.read_received(&json)?);
+                self.advance_first_list_progress(FirstListProgress::Received);
             }
         }
         Ok(received_message)
--- a/crates/proxy/src/downstream/listener/tests.rs
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::discovery::client::Discovery;
-use crate::discovery::endpoint_list::WatchEvent;
+use crate::discovery::client::DiscoveryClient;
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::metrics::Metrics;
 use crate::upstream::Upstreams;
 use balancer_core::Balancer;
@@ -47,9 +47,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let metrics = Rc::<Metrics>::default();
-        let discovery = Discovery::new(address, &site, Rc::clone(&metrics));
+        let discovery = DiscoveryClient::new(address, &site, Rc::clone(&metrics));
         let cached_endpoints = match self.upstreams {
-            [] => WatchEvent::failed(),
+            [] => EndpointUpdate::failed(),
             upstreams => discovery.read_cached(&endpoint_list(upstreams)),
         };
         let balancer = Balancer::new(site.settings.clone(), BALANCER_SEED).unwrap();
--- a/crates/proxy/src/driver/endpoint_watch.rs
+++ b/crates/proxy/src/driver/endpoint_watch.rs
@@ -1,7 +1,7 @@
 //! Keeps a watch on the endpoint list open.
 
 use crate::discovery::backoff::Backoff;
-use crate::discovery::endpoint_list::WatchEvent;
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::driver::Driver;
 use crate::driver::event_queue::DriverEvent;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
             let begun_at = Instant::now();
             self.discovery.watch(|update| self.deliver(DriverEvent::EndpointUpdate { update })).await;
             if self.polls_endpoints {
-                self.deliver(DriverEvent::EndpointUpdate { update: WatchEvent::failed() });
+                self.deliver(DriverEvent::EndpointUpdate { update: EndpointUpdate::failed() });
                 return;
             }
             if begun_at.elapsed() >= STABLE_WATCH_DURATION {
--- a/crates/proxy/src/driver/event_queue.rs
+++ b/crates/proxy/src/driver/event_queue.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::discovery::endpoint_list::WatchEvent;
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::upstream::AttemptResult;
 use balancer_core::{AttemptIndex, RequestId, TimerId, UpstreamId};
 use std::cell::{Cell, RefCell};
@@ -13,7 +13,7 @@
 /// Something that has happened and that the balancer is to be told of.
 pub(super) enum DriverEvent {
     /// Discovery has sent an update, or a call to it failed.
-    EndpointUpdate { update: WatchEvent },
+    EndpointUpdate { update: EndpointUpdate },
     /// A client has sent a request.
     RequestArrived { id: RequestId },
     /// An attempt has ended or was cancelled.
--- a/crates/proxy/src/driver/events.rs
+++ b/crates/proxy/src/driver/events.rs
@@ -1,6 +1,6 @@
 //! How each event is handled: what the driver does about it, and what the balancer is told.
 
-use crate::discovery::endpoint_list::WatchEvent;
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::driver::clock::WallClockReading;
 use crate::driver::event_queue::DriverEvent;
 use crate::driver::in_flight::ResponseSender;
@@ -39,13 +39,13 @@
         core.actions = actions;
     }
 
-    fn handle_endpoint_update(&self, core: &mut Core, now: Duration, update: &WatchEvent) {
+    fn handle_endpoint_update(&self, core: &mut Core, now: Duration, update: &EndpointUpdate) {
         let entries = self.apply_endpoint_update(update);
         core.handle(now, Event::EndpointUpdate { scope: update.scope, entries: &entries });
     }
 
     /// Applies an update to the connections and returns its entries for the balancer.
-    fn apply_endpoint_update(&self, update: &WatchEvent) -> Vec<EndpointEntry> {
+    fn apply_endpoint_update(&self, update: &EndpointUpdate) -> Vec<EndpointEntry> {
         if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let listed: FxHashSet<UpstreamId> = update.entries.iter().map(|endpoint| endpoint.id).collect();
             self.upstreams.retain_listed(|id| listed.contains(&id));
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -17,8 +17,8 @@
 
 pub use request::{FinalResponse, IncomingRequest};
 
-use crate::discovery::client::{Discovery, FirstListProgress};
-use crate::discovery::endpoint_list::WatchEvent;
+use crate::discovery::client::{DiscoveryClient, FirstListProgress};
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::metrics::Metrics;
 use crate::upstream::Upstreams;
 use balancer_core::{Action, Balancer, Event};
@@ -55,7 +55,7 @@
     core: RefCell<Core>,
     queue: EventQueue,
     upstreams: Upstreams,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     /// The balancer decides when a watch is begun, by [`Action::WatchEndpoints`]. Otherwise the driver keeps
     /// a watch open by itself. Nothing is polled at intervals in either case.
     polls_endpoints: bool,
@@ -70,8 +70,8 @@
     pub fn start(
         balancer: Balancer,
         upstreams: Upstreams,
-        discovery: Discovery,
-        cached_endpoints: WatchEvent,
+        discovery: DiscoveryClient,
+        cached_endpoints: EndpointUpdate,
         polls_endpoints: bool,
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
@@ -112,7 +112,7 @@
 
     /// How far the first list that a watch brings has come.
     pub fn discovery_progress(&self) -> watch::Receiver<FirstListProgress> {
-        self.discovery.progress()
+        self.discovery.first_list_progress()
     }
 
     /// The version of the endpoint list in use; 0 if there is none.
@@ -123,7 +123,7 @@
     /// Discovery has a new address. A watch that was ever begun is begun anew there at once, even if the
     /// balancer or the backoff would wait: changes must not be missed meanwhile.
     pub fn discovery_moved(self: &Rc<Self>, address: SocketAddr) {
-        if self.discovery.move_to(address) {
+        if self.discovery.set_address(address) {
             self.watch_endpoints();
         }
     }
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -54,11 +54,14 @@
     let site = balancer_settings::parse(&settings).unwrap();
     let listener = listen().await;
     let metrics = Rc::<Metrics>::default();
-    let discovery = Discovery::new(listener.local_addr().unwrap(), &site, Rc::clone(&metrics));
+    let discovery = DiscoveryClient::new(listener.local_addr().unwrap(), &site, Rc::clone(&metrics));
     let balancer = Balancer::new(site.settings.clone(), SEED).unwrap();
     let upstreams = Upstreams::new(&site.settings, 8, 0, Rc::default());
     let polls_endpoints = site.settings.starts_watches;
-    (Driver::start(balancer, upstreams, discovery, WatchEvent::failed(), polls_endpoints, metrics), listener)
+    (
+        Driver::start(balancer, upstreams, discovery, EndpointUpdate::failed(), polls_endpoints, metrics),
+        listener,
+    )
 }
 
 /// A driver whose only upstream is at this socket, with one connection to it at the most. Attempts are never
@@ -69,7 +72,7 @@
     let rest = r#""limits":{"cancelling":false},"parties":[{"name":"acme","allowance_per_s":1000.0}]"#;
     let mut site: Site = balancer_settings::parse(&format!(r#"{{"classes":[{class}],{rest}}}"#)).unwrap();
     let metrics = Rc::<Metrics>::default();
-    let discovery = Discovery::new(endpoint, &site, Rc::clone(&metrics));
+    let discovery = DiscoveryClient::new(endpoint, &site, Rc::clone(&metrics));
     let entry = format!(r#"{{"uid":"s-0","endpoint":"{endpoint}","state":"Ready"}}"#);
     let cached_endpoints = discovery.read_cached(&format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#));
     site.settings.connect_timeout = LONG;
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,7 +1,7 @@
 //! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept clients.
 
 use crate::config::{Config, ConfigError};
-use crate::discovery::client::{Discovery, FirstListProgress};
+use crate::discovery::client::{DiscoveryClient, FirstListProgress};
 use crate::downstream::listener::Listener;
 use crate::downstream::request::can_be_served;
 use crate::driver::Driver;
@@ -125,7 +125,7 @@
         config.max_buffered_response_bytes(),
         Rc::clone(metrics),
     );
-    let discovery = Discovery::new(config.discovery, &config.site, Rc::clone(metrics));
+    let discovery = DiscoveryClient::new(config.discovery, &config.site, Rc::clone(metrics));
     let cached_endpoints = discovery.read_cached(&config.cached_endpoints);
     tracing::info!(
         upstreams = cached_endpoints.entries.len(),
