--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -1,4 +1,5 @@
-//! A duration that doubles after each failure, within two bounds. It serves as a wait and as a timeout.
+//! A duration that doubles after each failure, within two bounds. It is used as a wait between watches and
+//! as a timeout for calls to discovery.
 
 use std::time::Duration;
 
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -19,8 +19,8 @@
 use tokio::time::{sleep, timeout};
 
 /// Bounds of the timeout for a sequential call, from connecting up to the head of the response. A busy
-/// discovery service queues calls, and a call that times out loses its place in the queue. So the timeout
-/// doubles each time.
+/// discovery service queues calls, and a call that times out loses its place in the queue. So each call that
+/// times out doubles the timeout of the next one.
 const MIN_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time from the start of one overlapping call to the start of the next, as long as none has a response. A
@@ -36,12 +36,13 @@
 pub(super) enum CallStrategy {
     /// Each call ends before the next one starts, since every call costs the discovery service work.
     Sequential,
-    /// Further calls start until one has a response. Calls cost next to nothing here, and changes count as
-    /// delivered (see [`discovery`](crate::discovery)) even before a response arrives.
+    /// Further calls start at intervals until one has a response. A call to an agent on this machine costs
+    /// nothing, while changes count as delivered (see [`discovery`](crate::discovery)) even without a
+    /// response.
     Overlapping,
 }
 
-/// A response of discovery with status 200, whose body is still to be read.
+/// A response from discovery with status 200, whose body is still to be read.
 pub(super) struct DiscoveryResponse {
     /// Connection that the body arrives on. Dropping it ends the body.
     pub(super) connection: Connection,
@@ -49,7 +50,7 @@
     pub(super) body: Incoming,
 }
 
-/// Makes calls to discovery.
+/// The part of the discovery client that makes the calls.
 pub(super) struct DiscoveryCaller {
     address: Cell<SocketAddr>,
     strategy: CallStrategy,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Makes one call. If it times out, the timeout for the next one is longer.
+    /// Makes one call. A timeout makes the timeout of the next call longer; a response resets it to the
+    /// minimum.
     async fn call_once(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         let mut response_head_timeout = self.response_head_timeout.get();
         let result = timeout(response_head_timeout.current(), self.send_request(target)).await;
@@ -108,7 +110,7 @@
 
     /// Starts a call every [`OVERLAPPING_CALL_INTERVAL`], because a response that is late cannot be told from
     /// one that will never arrive. Returns the first response, or the error of a call that fails while no
-    /// other call is open. A call that times out is dropped, and further calls are made.
+    /// other call is open. A call that times out is dropped without ending the series of calls.
     async fn call_overlapping(&self, target: &str) -> Result<DiscoveryResponse, DiscoveryError> {
         let mut calls = FuturesUnordered::new();
         loop {
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Returns a receiver that is notified whenever a watch receives data, until the first complete list.
+    /// Returns a receiver that is notified whenever a watch receives a response or data, up to and including
+    /// the first complete list.
     pub fn first_list_progress(&self) -> watch::Receiver<FirstListProgress> {
         self.first_list_progress.subscribe()
     }
@@ -94,7 +95,8 @@
         self.version.set(0);
     }
 
-    /// Reads an update that discovery has sent, takes over its version and counts it in the metrics.
+    /// Reads an update that discovery has sent, stores its version as the one in use and counts the update in
+    /// the metrics.
     pub(super) fn read_received(&self, json: &[u8]) -> Result<EndpointUpdate, EndpointListError> {
         let update = self.read_update(json)?;
         self.metrics.endpoint_lists.inc();
@@ -102,7 +104,7 @@
         Ok(update)
     }
 
-    /// Reads an endpoint list, or changes to the one in use, and takes over its version.
+    /// Reads an endpoint list, or changes to the one in use, and stores its version as the one in use.
     fn read_update(&self, json: &[u8]) -> Result<EndpointUpdate, EndpointListError> {
         let versioned = self.reader.read(json)?;
         self.version.set(versioned.version);
@@ -112,15 +114,14 @@
     }
 
     /// Reads the cached endpoint list of the configuration and returns it with [`UpdateScope::Cached`]. An
-    /// unreadable list is logged and counts as empty. The metrics do not count a cached list as received.
+    /// unreadable list is logged and counts as empty. A cached list does not count as received from
+    /// discovery, neither in the metrics nor in [`DiscoveryClient::first_list_progress`].
     pub fn read_cached(&self, json: &str) -> EndpointUpdate {
         let mut entries = Vec::new();
         if !json.is_empty() {
             match self.read_update(json.as_bytes()) {
                 Ok(update) => entries = update.entries,
-                Err(e) => {
-                    tracing::warn!(error = %e, "cached endpoint list is unreadable and counts as empty")
-                }
+                Err(e) => tracing::warn!(error = %e, "ignoring the unreadable cached endpoint list"),
             }
         }
         EndpointUpdate { scope: UpdateScope::Cached, entries }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -26,15 +26,16 @@
 pub struct DiscoveredEndpoint {
     /// Hash of the uid alone. It is the same at every balancer and does not depend on the address.
     pub id: UpstreamId,
-    /// Zone it runs in; [`UNKNOWN_ZONE`] if the entry names none that the settings know.
+    /// Zone it runs in; [`UNKNOWN_ZONE`] if the entry states none, or one that the settings do not name.
     pub zone: ZoneId,
-    /// Hardware model it runs on; [`UNKNOWN_HARDWARE`] if the entry names none that the settings know.
+    /// Hardware model it runs on; [`UNKNOWN_HARDWARE`] if the entry states none, or one that the settings do
+    /// not name.
     pub hardware: HardwareId,
     /// Cell it belongs to; 0 if the entry states none, [`UNKNOWN_CELL`] if the entry is unreadable.
     pub cell: CellId,
-    /// Weight as the list states it, to be read as
-    /// [`Settings::weight_kind`](balancer_core::Settings::weight_kind) says; [`DEFAULT_WEIGHT`] if the entry
-    /// states none.
+    /// Weight that the entry states, to be read as
+    /// [`Settings::weight_kind`](balancer_core::Settings::weight_kind) says; [`DEFAULT_WEIGHT`] if it states
+    /// none.
     pub weight: f64,
     /// Address, availability and start time of its process.
     pub state: EndpointState,
@@ -45,7 +46,7 @@
 pub struct EndpointUpdate {
     /// Whether the entries are the whole list or only changes to it, or whether there is no update at all.
     pub scope: UpdateScope,
-    /// Entries of the list, in its order; empty after a failure.
+    /// Entries in the order in which they are listed; empty after a failure.
     pub entries: Vec<DiscoveredEndpoint>,
 }
 
@@ -143,9 +144,7 @@
         match self.read_entry(json) {
             Ok(endpoint) => Some(endpoint),
             Err(e) => {
-                self.log.warn(
-                    |skipped| tracing::warn!(skipped, error = %e, "unreadable entry in an endpoint list"),
-                );
+                self.log.warn(|skipped| tracing::warn!(skipped, error = %e, "endpoint entry is unreadable"));
                 draining_endpoint(json)
             }
         }
@@ -188,7 +187,7 @@
     }
 }
 
-/// Returns the position of `name` in `names`; `None` if it is not given or not in there.
+/// Returns the position of `name` in `names`; `None` if `name` is absent or not among them.
 fn name_index(names: &[String], name: Option<&str>) -> Option<usize> {
     names.iter().position(|candidate| Some(candidate.as_str()) == name)
 }
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -1,8 +1,8 @@
 //! Splits a stream of bytes into the JSON objects that it consists of.
 //!
 //! A line end does not delimit objects, because an object may span several lines. A chunk of the stream may
-//! end anywhere, even within a number. So an incremental parser reads the bytes: it reads each of them only
-//! once, and it distinguishes an incomplete object from a malformed one.
+//! end anywhere, even within a number. So an incremental parser finds the ends of the objects: it processes
+//! each byte only once, and it distinguishes an incomplete object from a malformed one.
 
 #[cfg(test)]
 mod tests;
@@ -16,7 +16,7 @@
 /// The reason why a stream cannot be split.
 #[derive(Debug, Error)]
 pub enum SplitError {
-    /// A byte between two objects is not white space.
+    /// A byte outside of any object is not white space.
     #[error("unexpected byte {0:#04x} outside of any JSON object")]
     OutsideOfObject(u8),
     /// An object is malformed JSON.
@@ -27,7 +27,7 @@
         /// Error of the parser.
         source: ParserError,
     },
-    /// An object is still incomplete after the maximum number of bytes, which is the value.
+    /// An object is still incomplete after this maximum number of bytes.
     #[error("JSON object is longer than {0} bytes")]
     TooLong(usize),
 }
@@ -46,19 +46,19 @@
     parser: JsonParser<PushJsonFeeder>,
     /// Number of bytes at the start of the buffer that the parser has already been given.
     fed_bytes: usize,
-    /// Number of objects and arrays that are open, nested ones included.
+    /// Number of nested objects and arrays that are open at the end of the parsed bytes.
     depth: usize,
 }
 
 /// A splitter of one stream of JSON objects.
-pub struct JsonStream {
+pub struct JsonSplitter {
     /// Bytes that have not been returned as an item yet. If an object is incomplete, they begin with it.
     buffer: BytesMut,
     incomplete_object: Option<IncompleteObject>,
     max_object_bytes: usize,
 }
 
-impl JsonStream {
+impl JsonSplitter {
     /// Creates a splitter that fails on an object that is still incomplete after `max_object_bytes` bytes.
     pub fn new(max_object_bytes: usize) -> Self {
         Self { buffer: BytesMut::new(), incomplete_object: None, max_object_bytes }
--- a/crates/proxy/src/discovery/json_stream/tests.rs
+++ b/crates/proxy/src/discovery/json_stream/tests.rs
@@ -4,11 +4,11 @@
 
 /// Returns all items of a stream that arrives in chunks of `chunk_length` bytes.
 fn split(text: &[u8], chunk_length: usize) -> Result<Vec<StreamItem>, SplitError> {
-    let mut stream = JsonStream::new(MAX_OBJECT_BYTES);
+    let mut splitter = JsonSplitter::new(MAX_OBJECT_BYTES);
     let mut items = Vec::new();
     for chunk in text.chunks(chunk_length) {
-        stream.push(chunk);
-        while let Some(item) = stream.next_item()? {
+        splitter.push(chunk);
+        while let Some(item) = splitter.next_item()? {
             items.push(item);
         }
     }
@@ -37,14 +37,14 @@
 
 #[test]
 fn an_object_is_returned_only_once_it_is_complete() {
-    let mut stream = JsonStream::new(MAX_OBJECT_BYTES);
-    assert!(!stream.is_within_object());
-    stream.push(b"{\"a\": 1");
-    assert_eq!(stream.next_item().unwrap(), None);
-    assert!(stream.is_within_object());
-    stream.push(b"2}");
-    assert_eq!(stream.next_item().unwrap(), Some(object("{\"a\": 12}")));
-    assert!(!stream.is_within_object());
+    let mut splitter = JsonSplitter::new(MAX_OBJECT_BYTES);
+    assert!(!splitter.is_within_object());
+    splitter.push(b"{\"a\": 1");
+    assert_eq!(splitter.next_item().unwrap(), None);
+    assert!(splitter.is_within_object());
+    splitter.push(b"2}");
+    assert_eq!(splitter.next_item().unwrap(), Some(object("{\"a\": 12}")));
+    assert!(!splitter.is_within_object());
 }
 
 #[test]
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! A change to the list *counts as delivered* from the moment at which this balancer is expected to know of
 //! it and to act on it (for instance, to send nothing new to a draining upstream), even if this process has
-//! not read it. That moment depends on how discovery distributes its list:
+//! not read it yet. That moment depends on how discovery distributes its list:
 //!
-//! - Discovery pushes its list to an agent on this machine
-//!   ([`Settings::starts_watches`](balancer_core::Settings::starts_watches) is `false`): a change counts as
-//!   delivered once the agent has it, whether or not a watch is open. After a SIGHUP that changes the address
-//!   of discovery, it counts as delivered 4 s later.
-//! - Discovery is called over the network: a change counts as delivered once discovery has written it to this
-//!   balancer. A balancer that has no watch and has not called for
+//! - Where discovery pushes its list to an agent on this machine
+//!   ([`Settings::starts_watches`](balancer_core::Settings::starts_watches) is `false`), a change counts as
+//!   delivered once the agent has it, whether or not a watch is open. After a SIGHUP that moves discovery to
+//!   another address, a change counts as delivered 4 s later.
+//! - Elsewhere, a change counts as delivered once discovery has written it to this balancer. A balancer that
+//!   has no watch and has not called for
 //!   [`Settings::poll_interval`](balancer_core::Settings::poll_interval) (longer after a failed call) is also
 //!   expected to know what was listed that long ago.
 //! - In both cases, a change counts as delivered at the latest 6 s after the watch that misses it fell
--- a/crates/proxy/src/discovery/transfer.rs
+++ b/crates/proxy/src/discovery/transfer.rs
@@ -14,14 +14,14 @@
 /// [`discovery`](crate::discovery)) at the latest 6 s after a watch fell silent: long enough to time out on
 /// this watch and on a second silent one, and to start a third.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Minimum mean rate of a list; [`SILENCE_TIMEOUT`] is added to the time that this rate allows. It is about
-/// half the rate at which a list of 3,200 upstreams (480 KB) arrives in 8 s. A list that trickles in is given
-/// up hardly later than a silent one.
+/// Minimum mean rate of a list, which may take [`SILENCE_TIMEOUT`] longer than it would at this rate. The
+/// rate is about half of that at which a list of 3,200 upstreams (480 KB) arrives in 8 s. A list that
+/// trickles in is given up hardly later than a silent one.
 const MIN_BYTES_PER_SECOND: f64 = 32.0 * 1024.0;
 /// Maximum time for one list, so that a list without an end does not hide later changes forever.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(10);
 
-/// The state of one list that is arriving.
+/// The timing of one list while it arrives.
 #[derive(Clone, Copy)]
 pub(super) struct Transfer {
     began_at: Instant,
@@ -30,8 +30,8 @@
 }
 
 impl Transfer {
-    /// Starts to time a list of which the first `received_bytes` have just arrived; 0 if only the head of the
-    /// response has.
+    /// Starts timing a list of which the first `received_bytes` bytes have just arrived, or nothing but the
+    /// head of the response (0 bytes).
     pub(super) fn begin(received_bytes: usize) -> Self {
         let now = Instant::now();
         Self { began_at: now, last_bytes_at: now, received_bytes }
--- a/crates/proxy/src/discovery/transfer/tests.rs
+++ b/crates/proxy/src/discovery/transfer/tests.rs
@@ -20,12 +20,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_list_that_keeps_arriving_is_received_up_to_the_maximum_time() {
     for seconds in [1.0, 2.0, 3.0, 4.0, 8.0] {
-        let time_until_given_up = time_until_given_up(CHUNK_BYTES, LONG_LIST_BYTES as f64 / seconds).await;
-        assert!(
-            time_until_given_up > Duration::from_secs_f64(seconds),
-            "{seconds} s: {time_until_given_up:?}"
-        );
-        assert!(time_until_given_up <= MAX_TRANSFER_TIME, "{seconds} s: {time_until_given_up:?}");
+        let given_up_after = time_until_given_up(CHUNK_BYTES, LONG_LIST_BYTES as f64 / seconds).await;
+        assert!(given_up_after > Duration::from_secs_f64(seconds), "{seconds} s: {given_up_after:?}");
+        assert!(given_up_after <= MAX_TRANSFER_TIME, "{seconds} s: {given_up_after:?}");
     }
 }
 
@@ -41,10 +38,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_list_that_trickles_in_is_given_up_hardly_later_than_a_silent_one() {
     for bytes_per_second in [10.0, 1000.0] {
-        let time_until_given_up = time_until_given_up(1, bytes_per_second).await;
-        assert!(
-            time_until_given_up < SILENCE_TIMEOUT.mul_f64(1.1),
-            "{bytes_per_second} B/s: {time_until_given_up:?}"
-        );
+        let given_up_after = time_until_given_up(1, bytes_per_second).await;
+        assert!(given_up_after < SILENCE_TIMEOUT.mul_f64(1.1), "{bytes_per_second} B/s: {given_up_after:?}");
     }
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,17 +1,17 @@
-//! The watch: a response of discovery without an end, in which it sends each change to the endpoint list.
+//! The watch: a response without an end in which discovery sends each change to the endpoint list.
 
 use crate::discovery::call::DiscoveryResponse;
 use crate::discovery::client::{DiscoveryClient, FirstListProgress, LIST_PATH, MAX_LIST_BYTES};
 use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::json_stream::{JsonStream, StreamItem};
+use crate::discovery::json_stream::{JsonSplitter, StreamItem};
 use crate::discovery::transfer::{SILENCE_TIMEOUT, Transfer};
 use http_body_util::BodyExt;
 use tokio::time::{Instant, timeout_at};
 
 impl DiscoveryClient {
     /// Watches the endpoint list from the version in use onwards and passes each update to `deliver`. Returns
-    /// once the watch has ended or failed, and logs which of them happened.
+    /// once the watch has ended or failed, and logs how it ended.
     pub async fn watch(&self, deliver: impl FnMut(EndpointUpdate)) {
         let result = self.receive_updates(deliver).await;
         self.metrics.watches_ended.inc();
@@ -27,9 +27,9 @@
         let target = format!("{LIST_PATH}?stream=1&index={}", self.version());
         let DiscoveryResponse { connection: _connection, mut body } = self.caller.call(&target).await?;
         self.advance_first_list_progress(FirstListProgress::Receiving);
-        let mut messages = JsonStream::new(MAX_LIST_BYTES);
+        let mut messages = JsonSplitter::new(MAX_LIST_BYTES);
         let mut last_message_at = Instant::now();
-        // The list that has arrived in part, if there is one.
+        // Times the list that has arrived only in part; `None` between two messages.
         let mut transfer: Option<Transfer> = None;
         loop {
             let deadline = transfer.map_or(last_message_at + SILENCE_TIMEOUT, |transfer| transfer.deadline());
@@ -41,7 +41,7 @@
             messages.push(&data);
             let received_message = self
                 .deliver_complete_messages(&mut messages, &mut deliver)
-                // The unreadable message may have announced a drain, which the next watch must not miss.
+                // The unreadable message may have announced a drain, so the next watch needs the whole list.
                 .inspect_err(|_| self.discard_version())?;
             if received_message {
                 last_message_at = Instant::now();
@@ -60,7 +60,7 @@
     /// a line end.
     fn deliver_complete_messages(
         &self,
-        messages: &mut JsonStream,
+        messages: &mut JsonSplitter,
         deliver: &mut impl FnMut(EndpointUpdate),
     ) -> Result<bool, DiscoveryError> {
         let mut received_message = false;
