--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,16 +1,17 @@
-//! Admission: token buckets, tenants' quotas and the rejection of what exceeds them.
+//! Tests of admission control: token buckets, the quotas of tenants, and the rejection of requests over
+//! quota.
 
 mod common;
 use balancer_core::*;
 use common::*;
 
-/// Settings with one idempotent class and tenants of these quotas.
+/// Returns settings with one idempotent class and a tenant for each quota.
 fn settings(balancers: u32, quotas_per_second: &[f64]) -> SettingsBuilder {
     SettingsBuilder::new(RetrySafety::Idempotent).balancers(balancers).quotas(quotas_per_second)
 }
 
-/// Each of a thousand balancers has capacity for a fraction of a request at a time. Rounding that down to
-/// nothing would starve its tenants for good.
+/// Each of a thousand balancers sees spare capacity for only a fraction of a request at a time. If that were
+/// rounded down to zero, its tenants would never get a token.
 #[test]
 fn one_of_a_thousand_balancers_admits_all_requests_of_tenants_within_quota() {
     let settings = settings(1000, &[600.0, 500.0, 400.0]).build();
@@ -28,11 +29,11 @@
         harness.advance(ms(450));
     }
 
-    assert_eq!(rejected, 0, "two requests per second, with capacity for all of them");
+    assert_eq!(rejected, 0, "requests were rejected although there is capacity for two per second");
 }
 
-/// While one tenant sends far over its quota and no request is served in time, a tenant within its quota
-/// still gets about all of it.
+/// One tenant sends far over its quota, and none of its requests is served in time. A tenant within its quota
+/// must still have nearly all of its requests admitted.
 #[test]
 fn a_tenant_far_over_quota_does_not_take_the_quota_of_another() {
     const SURGING_TENANT: u32 = 0;
@@ -42,16 +43,17 @@
 
     let mut admitted = 0;
     let mut sent = 0;
-    let mut surge = PendingRequests::default();
+    let mut surging_requests = PendingRequests::default();
     for step in 0..400 {
-        // No request of the surge is served in time, so there is no spare capacity beyond the quotas.
+        // None of the surging tenant's requests is served in time, so there is no spare capacity beyond the
+        // quotas.
         for _ in 0..4 {
             let id = harness.send_request(0, SURGING_TENANT, ms(1000));
             if harness.is_forwarded(id) {
-                surge.push(id, harness.now + ms(1000), Outcome::TimedOut);
+                surging_requests.push(id, harness.now + ms(1000), Outcome::TimedOut);
             }
         }
-        surge.end_due(&mut harness);
+        surging_requests.end_due(&mut harness);
         if step % 10 == 0 {
             let id = harness.send_request(0, TENANT_WITHIN_QUOTA, ms(1000));
             sent += 1;
@@ -63,15 +65,15 @@
         harness.advance(ms(10));
     }
 
-    assert!(admitted * 10 >= sent * 9, "{admitted} of {sent} within the quota were admitted");
+    assert!(admitted * 10 >= sent * 9, "only {admitted} of {sent} requests within quota were admitted");
 }
 
-/// A new bucket holds the quota of the longest latency objective, of one second at most, before anything is
-/// granted. More tokens, saved while there was spare capacity, would be admitted to upstreams that have just
-/// lost theirs.
+/// Before any refill, a bucket holds three tokens plus those that the quota grants in the time of the longest
+/// latency objective, but in one second at most. With a larger bucket, tokens saved while there was spare
+/// capacity would admit requests to upstreams that have just lost their capacity.
 #[test]
 fn a_new_token_bucket_starts_full() {
-    for (longest_objective_ms, tokens) in [(400, 11), (1000, 23), (3000, 23)] {
+    for (longest_objective_ms, expected_tokens) in [(400, 11), (1000, 23), (3000, 23)] {
         let settings = settings(1, &[20.0])
             .add_class(request_class(longest_objective_ms, 5000, RetrySafety::AtMostOnce))
             .build();
@@ -83,21 +85,24 @@
             forwarded += usize::from(harness.is_forwarded(id));
         }
 
-        assert_eq!(forwarded, tokens, "longest latency objective {longest_objective_ms} ms");
+        assert_eq!(
+            forwarded, expected_tokens,
+            "requests forwarded with a longest latency objective of {longest_objective_ms} ms"
+        );
     }
 }
 
-/// Each of many balancers admits little, but the tokens that all have saved would overload the upstreams for
-/// seconds. No tenant is over its quota here.
+/// Each of many balancers admits few requests, but the saved tokens of all of them would overload the
+/// upstreams for seconds, even though no tenant exceeds its quota.
 #[test]
 fn saved_tokens_are_dropped_once_no_upstream_has_spare_capacity() {
-    const LAST_SERVED_REQUEST: u32 = 200;
+    const FIRST_UNSERVED_REQUEST: u32 = 200;
     let mut harness = BalancerHarness::new(settings(1, &[3.0; 9]).build(), &endpoints(4));
 
     let mut pending = PendingRequests::default();
     let mut forwarded_while_overloaded = 0;
     for request in 0..240 {
-        let is_overloaded = request >= LAST_SERVED_REQUEST;
+        let is_overloaded = request >= FIRST_UNSERVED_REQUEST;
         let id = harness.send_request(0, request % 9, ms(1000));
         if harness.is_forwarded(id) {
             if is_overloaded {
@@ -113,6 +118,6 @@
 
     assert!(
         forwarded_while_overloaded <= 20,
-        "{forwarded_while_overloaded} of 40 forwarded in two seconds in which no attempt is served"
+        "{forwarded_while_overloaded} of 40 requests were forwarded in two seconds without a served attempt"
     );
 }
--- a/crates/core/tests/cancellation.rs
+++ b/crates/core/tests/cancellation.rs
@@ -1,46 +1,50 @@
-//! Cancelling overdue attempts: only where the upstream has become unresponsive, and where the response is
-//! not worth waiting for.
+//! Tests of the cancellation of overdue attempts. An attempt is cancelled only if its upstream is
+//! unresponsive and its response is not worth waiting for.
 
 mod common;
 use balancer_core::*;
 use common::*;
 
-/// Settings under which no request is hedged.
+/// Returns settings under which no request is hedged.
 fn settings_without_hedging() -> SettingsBuilder {
     SettingsBuilder::new(RetrySafety::Idempotent).hedging(false)
 }
 
-/// Advances by 10 ms, in which the first attempt of the request must not be cancelled.
-fn advance_without_cancelling(harness: &mut BalancerHarness, id: RequestId, step: u32) {
+/// Advances by 10 ms and asserts that the first attempt of the request is not cancelled meanwhile. `step` is
+/// the number of such advances since the attempt was sent.
+fn advance_and_assert_not_cancelled(harness: &mut BalancerHarness, id: RequestId, step: u32) {
     harness.advance(ms(10));
-    assert!(!harness.has_cancelled(id, 0), "cancelled after {step}0 ms");
+    assert!(!harness.has_cancelled(id, 0), "the attempt was cancelled after {step}0 ms");
 }
 
-/// Cancelling an attempt wastes the work done so far, and the retry does it again. Without hedging a slow
-/// attempt is left alone while its upstream serves other requests, and cancelled once the upstream has become
-/// unresponsive. That takes longer than being overdue: with few requests there may have been nothing else to
-/// respond to.
+/// Cancelling an attempt wastes the work done so far, and a retry repeats that work. Without hedging, a slow
+/// attempt therefore continues while its upstream serves other requests, and is cancelled once the upstream
+/// is unresponsive. It counts as unresponsive only some time after the attempt is overdue, because with few
+/// requests it may have had no other request to respond to.
 #[test]
-fn a_slow_attempt_is_cancelled_and_retried_only_where_its_upstream_is_unresponsive() {
+fn a_slow_attempt_is_cancelled_and_retried_only_if_its_upstream_is_unresponsive() {
     for is_unresponsive in [false, true] {
         let settings = settings_without_hedging().late_priority_weight(0.5).build();
         let mut harness = BalancerHarness::new(settings, &endpoints(2));
-        // Long enough to learn that responses usually come at once.
+        // Enough requests to learn that responses usually arrive at once.
         harness.play_requests(800, ms(20), |_| Some(Outcome::Ok));
 
-        let slow = harness.send_request(0, 0, ms(1000));
+        let slow_request = harness.send_request(0, 0, ms(1000));
         let Some(&Action::SendAttempt { upstream, timeout: None, .. }) = harness.last_actions.last() else {
-            panic!("not sent without a timeout of its own: {:?}", harness.last_actions)
+            panic!("the request was not sent without a timeout of its own: {:?}", harness.last_actions)
         };
         let mut cancelled_after_ms = None;
         for step in 1..=30 {
             harness.advance(ms(10));
-            if harness.has_cancelled(slow, 0) {
+            if harness.has_cancelled(slow_request, 0) {
                 cancelled_after_ms.get_or_insert(10 * step);
             }
-            let other = harness.send_request(0, 0, ms(1000));
-            if harness.upstream_of(other, 0).is_some_and(|used| !is_unresponsive || used != upstream) {
-                harness.end_attempt(other, 0, Outcome::Ok);
+            let other_request = harness.send_request(0, 0, ms(1000));
+            if harness
+                .upstream_of(other_request, 0)
+                .is_some_and(|other_upstream| !is_unresponsive || other_upstream != upstream)
+            {
+                harness.end_attempt(other_request, 0, Outcome::Ok);
             }
         }
 
@@ -48,56 +52,58 @@
         if let Some(elapsed_ms) = cancelled_after_ms {
             assert!(
                 (240..=290).contains(&elapsed_ms),
-                "after {elapsed_ms} of 400 ms, when a retry may still be in time"
+                "cancelled after {elapsed_ms} of 400 ms, too early, or too late for a retry in time"
             );
-            harness.end_attempt(slow, 0, Outcome::Cancelled);
+            harness.end_attempt(slow_request, 0, Outcome::Cancelled);
             assert!(
-                harness.upstream_of(slow, 1).is_some_and(|used| used != upstream),
-                "it is retried elsewhere"
+                harness.upstream_of(slow_request, 1).is_some_and(|retry_upstream| retry_upstream != upstream),
+                "the request was not retried at another upstream"
             );
         }
     }
 }
 
-/// One of many balancers sees a response of each upstream only now and then: a short time without one does
+/// One of many balancers gets a response from each upstream only now and then. A short time without one does
 /// not mean that the upstream is unresponsive.
 #[test]
-fn an_upstream_with_few_requests_is_not_taken_for_unresponsive() {
+fn an_upstream_with_few_requests_does_not_count_as_unresponsive() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
-    // A response of each upstream every 0.8 s.
+    // Each upstream responds every 0.8 s.
     harness.play_requests(200, ms(100), |_| Some(Outcome::Ok));
 
-    let slow = harness.send_request(0, 0, ms(1000));
-    let upstream = harness.upstream_of(slow, 0).expect("the request is forwarded");
+    let slow_request = harness.send_request(0, 0, ms(1000));
+    let upstream = harness.upstream_of(slow_request, 0).expect("the request should be forwarded");
     for step in 1..=60 {
-        advance_without_cancelling(&mut harness, slow, step);
+        advance_and_assert_not_cancelled(&mut harness, slow_request, step);
         if step % 10 == 0 {
-            let other = harness.send_request(0, 0, ms(1000));
-            if harness.upstream_of(other, 0).is_some_and(|used| used != upstream) {
-                harness.end_attempt(other, 0, Outcome::Ok);
+            let other_request = harness.send_request(0, 0, ms(1000));
+            if harness.upstream_of(other_request, 0).is_some_and(|other_upstream| other_upstream != upstream)
+            {
+                harness.end_attempt(other_request, 0, Outcome::Ok);
             }
         }
     }
 
-    assert_eq!(harness.attempts[&slow].len(), 1, "the request is executed once");
+    assert_eq!(harness.attempts[&slow_request].len(), 1, "the request was sent more than once");
 }
 
-/// A balancer that has just started, perhaps with all others, has sent next to nothing to most upstreams yet.
+/// A balancer that has just started, perhaps together with all others, has sent hardly any requests to most
+/// upstreams. Missing responses do not mean that an upstream is unresponsive.
 #[test]
-fn an_upstream_without_any_response_yet_is_not_taken_for_unresponsive() {
+fn an_upstream_that_has_not_responded_yet_does_not_count_as_unresponsive() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
 
-    let slow = harness.send_request(0, 0, ms(1000));
+    let slow_request = harness.send_request(0, 0, ms(1000));
     for step in 1..=90 {
-        advance_without_cancelling(&mut harness, slow, step);
+        advance_and_assert_not_cancelled(&mut harness, slow_request, step);
     }
 
-    assert_eq!(harness.attempts[&slow].len(), 1, "the request is executed once");
+    assert_eq!(harness.attempts[&slow_request].len(), 1, "the request was sent more than once");
 }
 
-/// Where most responses take longer than the earliest time for a cancellation, and an upstream gets too few
-/// requests to show that it responds, cancelled attempts count as slow ones. Otherwise nearly all attempts
-/// would be cancelled though they would have been served.
+/// Most responses take longer than the earliest time of a cancellation, and each upstream gets too few
+/// requests to show that it responds. Unless cancelled attempts counted as slow ones, nearly all attempts
+/// would be cancelled although they would have been served.
 #[test]
 fn cancelled_attempts_raise_the_typical_latency_so_that_few_are_cancelled() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
@@ -117,13 +123,17 @@
         }
     }
 
-    assert!(cancelled_attempts <= 30, "{cancelled_attempts} of 400 cancelled, all would have been served");
+    assert!(
+        cancelled_attempts <= 30,
+        "{cancelled_attempts} attempts of 400 requests were cancelled although all would have been served"
+    );
 }
 
-/// The same where all attempts are cancelled, so that nothing else tells that they take long.
+/// If every attempt is cancelled, the cancelled attempts are the only sign that responses take long. They
+/// must raise the typical latency, so that later attempts are cancelled later.
 #[test]
-fn attempts_are_cancelled_later_where_none_but_cancelled_ones_were_seen() {
-    const EARLIEST_MS: u64 = 240;
+fn attempts_are_cancelled_later_after_all_earlier_ones_were_cancelled() {
+    const EARLIEST_CANCELLATION_MS: u64 = 240;
     const ROUNDS: usize = 3;
     let settings = settings_without_hedging().quotas(&[1000.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(1));
@@ -135,7 +145,7 @@
         while !requests.iter().any(|id| harness.has_cancelled(*id, 0)) {
             harness.advance(ms(5));
             waited_ms += 5;
-            assert!(waited_ms < 1000, "one is cancelled");
+            assert!(waited_ms < 1000, "no attempt was cancelled");
         }
         cancelled_after_ms.push(waited_ms);
         for id in requests {
@@ -144,15 +154,18 @@
         }
     }
 
-    let first = cancelled_after_ms[0];
-    let last = cancelled_after_ms[ROUNDS - 1];
-    assert!((EARLIEST_MS..EARLIEST_MS + 50).contains(&first), "{cancelled_after_ms:?}");
-    assert!(last > first + 50, "the typical latency has risen: {cancelled_after_ms:?}");
+    let first_ms = cancelled_after_ms[0];
+    let last_ms = cancelled_after_ms[ROUNDS - 1];
+    assert!(
+        (EARLIEST_CANCELLATION_MS..EARLIEST_CANCELLATION_MS + 50).contains(&first_ms),
+        "{cancelled_after_ms:?}"
+    );
+    assert!(last_ms > first_ms + 50, "the typical latency did not rise: {cancelled_after_ms:?}");
 }
 
-/// Work for a response that is worth nothing any more serves nobody. Such an attempt is cancelled at the
-/// latency objective if its upstream is unresponsive, and waited for if the upstream serves others. An
-/// attempt whose late response still earns something is not cancelled.
+/// Work for a response that no longer has any value serves nobody. Such an attempt is cancelled at the
+/// latency objective if its upstream is unresponsive, and continues if the upstream serves other requests. An
+/// attempt whose late response still has some value is not cancelled.
 #[test]
 fn an_attempt_at_an_unresponsive_upstream_is_cancelled_once_its_response_is_worth_nothing() {
     for (late_priority_weight, is_unresponsive) in [(0.0, true), (0.0, false), (0.5, true)] {
@@ -167,31 +180,32 @@
             if harness.has_cancelled(id, 0) {
                 cancelled_after_ms.get_or_insert(10 * step);
             }
-            let other = harness.send_request(0, 0, ms(1000));
-            if !is_unresponsive && harness.is_forwarded(other) {
-                harness.end_attempt(other, 0, Outcome::Ok);
+            let other_request = harness.send_request(0, 0, ms(1000));
+            if !is_unresponsive && harness.is_forwarded(other_request) {
+                harness.end_attempt(other_request, 0, Outcome::Ok);
             }
         }
 
-        let expected = (late_priority_weight == 0.0 && is_unresponsive).then_some(390..430);
+        let expected_range_ms = (late_priority_weight == 0.0 && is_unresponsive).then_some(390..430);
         assert_eq!(
             cancelled_after_ms.is_some(),
-            expected.is_some(),
+            expected_range_ms.is_some(),
             "late priority weight {late_priority_weight}, unresponsive: {is_unresponsive}, \
-             cancelled after {cancelled_after_ms:?} ms"
+             attempt cancelled after {cancelled_after_ms:?} ms"
         );
         assert!(
-            cancelled_after_ms.is_none_or(|elapsed_ms| expected.is_some_and(|e| e.contains(&elapsed_ms))),
-            "cancelled after {cancelled_after_ms:?} ms"
+            cancelled_after_ms
+                .is_none_or(|elapsed_ms| expected_range_ms.is_some_and(|range| range.contains(&elapsed_ms))),
+            "the attempt was cancelled after {cancelled_after_ms:?} ms"
         );
         if cancelled_after_ms.is_some() {
             harness.end_attempt(id, 0, Outcome::Cancelled);
-            assert_eq!(harness.response(id), Some(FinalResponse::Failed), "at once");
+            assert_eq!(harness.response(id), Some(FinalResponse::Failed), "the request did not fail at once");
         }
     }
 }
 
-/// Where attempts may not be cancelled, the timeout of an attempt takes the place of a cancellation.
+/// If the settings forbid cancellation, an attempt whose late response has no value gets a timeout instead.
 #[test]
 fn without_cancellation_an_attempt_times_out_once_its_response_is_worth_nothing() {
     for (late_priority_weight, expected_timeout) in [(0.0, Some(ms(392))), (0.5, None)] {
@@ -204,18 +218,18 @@
         harness.send_request(0, 0, ms(1000));
 
         let Some(Action::SendAttempt { timeout, .. }) = harness.last_actions.last() else {
-            panic!("the request is not forwarded")
+            panic!("the request was not forwarded")
         };
         assert_eq!(*timeout, expected_timeout, "late priority weight {late_priority_weight}");
     }
 }
 
-/// Where nearly all responses take as long as the latency objective, an attempt stops being of use before it
-/// counts as long overdue.
+/// If nearly all responses take as long as the latency objective, the response of an attempt becomes useless
+/// before the attempt counts as long overdue. The attempt must be cancelled without waiting for the latter.
 #[test]
-fn an_attempt_at_an_unresponsive_upstream_is_cancelled_as_soon_as_its_response_is_of_no_use() {
+fn an_attempt_whose_response_is_useless_is_cancelled_before_it_is_long_overdue() {
     const OBJECTIVE_MS: u64 = 10_000;
-    const USELESS_AFTER_MS: u64 = 9_800;
+    const RESPONSE_USELESS_AFTER_MS: u64 = 9_800;
     const TICK_MS: u64 = 25;
     let class = request_class(OBJECTIVE_MS, 60_000, RetrySafety::AtMostOnce);
     let settings = settings_without_hedging().classes(vec![class]).quotas(&[100.0]).build();
@@ -228,24 +242,25 @@
 
     let unanswered: Vec<RequestId> = (0..4).map(|_| harness.send_request(0, 0, ms(60_000))).collect();
     assert!(unanswered.iter().all(|id| harness.is_forwarded(*id)));
-    harness.advance(ms(USELESS_AFTER_MS - TICK_MS));
+    harness.advance(ms(RESPONSE_USELESS_AFTER_MS - TICK_MS));
     let mut cancelled_after_ms = None;
     for step in 0..OBJECTIVE_MS / 10 {
         harness.advance(ms(10));
         if unanswered.iter().any(|id| harness.has_cancelled(*id, 0)) {
-            cancelled_after_ms.get_or_insert(USELESS_AFTER_MS - TICK_MS + 10 * (step + 1));
+            cancelled_after_ms.get_or_insert(RESPONSE_USELESS_AFTER_MS - TICK_MS + 10 * (step + 1));
         }
     }
 
-    let cancelled_after_ms = cancelled_after_ms.expect("they are cancelled");
+    let cancelled_after_ms = cancelled_after_ms.expect("an attempt should be cancelled");
     assert!(
-        (USELESS_AFTER_MS..=USELESS_AFTER_MS + 2 * TICK_MS).contains(&cancelled_after_ms),
+        (RESPONSE_USELESS_AFTER_MS..=RESPONSE_USELESS_AFTER_MS + 2 * TICK_MS).contains(&cancelled_after_ms),
         "{cancelled_after_ms}"
     );
 }
 
-/// Leaves a request at this upstream without a response until its attempt is overdue, and its client then.
-fn abandon_an_attempt_at(harness: &mut BalancerHarness, upstream: UpstreamId) {
+/// Sends a request to this upstream, which does not respond. Once the attempt is overdue, the client
+/// disconnects and the attempt is cancelled.
+fn abandon_attempt_at(harness: &mut BalancerHarness, upstream: UpstreamId) {
     let id = loop {
         let id = harness.send_request(0, 0, ms(60_000));
         if harness.upstream_of(id, 0) == Some(upstream) {
@@ -256,35 +271,43 @@
     harness.advance(ms(200));
     harness.deliver(Event::ClientDisconnected { id });
     harness.end_attempt(id, 0, Outcome::Cancelled);
-    // A success in between, so that it is not ejected.
+    // These successes keep the upstream from being ejected.
     harness.play_requests(4, ms(10), |_| Some(Outcome::Ok));
 }
 
-/// What an upstream was still executing when it left the rotation is done by the time it comes back.
+/// By the time an upstream returns to the rotation, it has finished the abandoned attempts that it was still
+/// executing when it left.
 #[test]
-fn an_upstream_that_comes_back_after_a_while_is_not_loaded_by_what_was_abandoned_before() {
+fn abandoned_attempts_do_not_count_as_load_when_the_upstream_returns_after_a_while() {
     const OBJECTIVE_MS: u64 = 10_000;
-    const RETURNING: UpstreamId = UpstreamId(1);
+    const RETURNING_UPSTREAM: UpstreamId = UpstreamId(1);
     let class = request_class(OBJECTIVE_MS, 60_000, RetrySafety::AtMostOnce);
     let settings = settings_without_hedging().classes(vec![class]).quotas(&[1000.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(2));
-    // Long enough to learn that responses usually come at once.
+    // Enough requests to learn that responses usually arrive at once.
     harness.play_requests(2500, ms(10), |_| Some(Outcome::Ok));
     for _ in 0..3 {
-        abandon_an_attempt_at(&mut harness, RETURNING);
+        abandon_attempt_at(&mut harness, RETURNING_UPSTREAM);
     }
-    let sent_before = harness.attempts_sent_to(RETURNING);
+    let sent_before = harness.attempts_sent_to(RETURNING_UPSTREAM);
     harness.play_requests(20, ms(10), |_| Some(Outcome::Ok));
-    assert_eq!(harness.attempts_sent_to(RETURNING), sent_before, "it counts as loaded");
+    assert_eq!(
+        harness.attempts_sent_to(RETURNING_UPSTREAM),
+        sent_before,
+        "the upstream with abandoned attempts does not count as loaded"
+    );
 
     let with_availability =
-        |availability| vec![EndpointBuilder::new(RETURNING.0).availability(availability).build()];
+        |availability| vec![EndpointBuilder::new(RETURNING_UPSTREAM.0).availability(availability).build()];
     harness.update_endpoints(UpdateScope::Delta, &with_availability(Availability::Draining));
     harness.play_requests(300, ms(100), |_| Some(Outcome::Ok));
     harness.update_endpoints(UpdateScope::Delta, &with_availability(Availability::Ready));
-    let sent_before = harness.attempts_sent_to(RETURNING);
+    let sent_before = harness.attempts_sent_to(RETURNING_UPSTREAM);
     harness.play_requests(100, ms(10), |_| Some(Outcome::Ok));
 
-    let sent = harness.attempts_sent_to(RETURNING) - sent_before;
-    assert!(sent > 30, "{sent} of 100 after three times the latency objective");
+    let sent = harness.attempts_sent_to(RETURNING_UPSTREAM) - sent_before;
+    assert!(
+        sent > 30,
+        "only {sent} of 100 requests went to the returned upstream after three latency objectives"
+    );
 }
--- a/crates/core/tests/endpoint_updates.rs
+++ b/crates/core/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the polls for it.
+//! Tests of updates of the endpoint list and of the polls for it.
 
 mod common;
 use balancer_core::*;
@@ -18,7 +18,7 @@
     let attempts_before = [harness.attempts_sent_to(draining.id), harness.attempts_sent_to(removed)];
 
     harness.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&draining));
-    // A snapshot without upstream 2, and with upstream 1 as ready once more.
+    // The snapshot omits upstream 2 and lists upstream 1 as ready again.
     harness.update_endpoints(UpdateScope::Snapshot, &[endpoint(1), endpoint(remaining.0)]);
     harness.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&draining));
     harness.play_requests(60, ms(30), |_| Some(Outcome::Ok));
@@ -42,31 +42,31 @@
     assert!(harness.attempts_sent_to(UpstreamId(1)) > 0);
 }
 
-/// A discovery service that is down must not be flooded with polls, and the endpoints are most likely still
-/// there.
+/// A discovery service that is down must not be flooded with polls. The known endpoints most likely still
+/// exist, so they stay in use.
 #[test]
 fn failed_polls_are_repeated_with_backoff_and_the_known_endpoint_list_stays_in_use() {
     let mut harness = BalancerHarness::new(settings().starts_watches(true).build(), &endpoints(2));
 
     for _ in 0..6000 {
-        let polls = harness.endpoint_polls.len();
+        let polls_before = harness.endpoint_polls.len();
         harness.advance(ms(10));
-        if harness.endpoint_polls.len() > polls {
+        if harness.endpoint_polls.len() > polls_before {
             harness.update_endpoints(UpdateScope::Failed, &[]);
         }
     }
 
     let polls = harness.endpoint_polls.len();
-    assert!((5..=30).contains(&polls), "{polls} polls in a minute");
+    assert!((5..=30).contains(&polls), "discovery got {polls} polls in a minute");
     let id = harness.send_request(0, 0, ms(1000));
     assert!(harness.is_forwarded(id));
 }
 
-/// A change counts as notified 6 s after discovery had it and could be reached. However many polls failed
-/// before, and however long the poll interval is, a poll that fails late, the backoff after it and the next
-/// poll take less together.
+/// A balancer counts as notified of a change 6 s after discovery has the change and can be reached. A poll
+/// that fails late, the backoff after it and the next poll must take less time together, however many polls
+/// have failed before and however long the poll interval is.
 #[test]
-fn polls_are_never_so_far_apart_that_a_change_is_missed_after_discovery_has_recovered() {
+fn polls_are_close_enough_to_notice_a_change_in_time_after_discovery_has_recovered() {
     for poll_interval_ms in [2_000, 10_000, 60_000] {
         let poll_interval = ms(poll_interval_ms);
         let settings = settings().starts_watches(true).poll_interval(poll_interval).build();
@@ -77,10 +77,14 @@
             while harness.endpoint_polls.len() == poll {
                 harness.advance(ms(10));
                 let elapsed = harness.now - last_poll_at;
-                assert!(elapsed < ms(5_700), "poll {poll} with interval {poll_interval:?}: {elapsed:?}");
+                assert!(
+                    elapsed < ms(5_700),
+                    "poll {poll} with interval {poll_interval:?} is late: {elapsed:?} since the last one"
+                );
             }
             last_poll_at = harness.now;
-            // Every other poll fails at once, the others when nothing follows the header of the response.
+            // Every other poll fails at once. The rest fail late, because nothing follows the response
+            // header.
             let fails_after = ms(if poll % 2 == 0 { 2_500 } else { 1 });
             harness.advance(fails_after);
             harness.update_endpoints(UpdateScope::Failed, &[]);
--- a/crates/core/tests/hedging.rs
+++ b/crates/core/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: a second attempt beside the first one, where that is overdue.
+//! Tests of hedged requests, which send a second attempt while the first one is overdue.
 
 mod common;
 use balancer_core::*;
@@ -12,19 +12,19 @@
     let id = harness.send_request(0, 0, ms(1000));
     harness.advance(ms(300));
 
-    let first = harness.upstream_of(id, 0).expect("the request is forwarded");
-    let hedge = harness.upstream_of(id, 1).expect("a hedged request");
-    assert_ne!(first, hedge);
+    let first_upstream = harness.upstream_of(id, 0).expect("the request should be forwarded");
+    let hedge_upstream = harness.upstream_of(id, 1).expect("the request should be hedged");
+    assert_ne!(first_upstream, hedge_upstream);
 
     harness.end_attempt(id, 1, Outcome::Ok);
     assert!(harness.has_cancelled(id, 0));
 }
 
-/// Each of many balancers sees one late request at a time. The hedged requests of all of them together would
-/// delay upstreams without spare capacity even more.
+/// Each of many balancers sees only one late request at a time, but the hedged requests of all balancers
+/// would delay upstreams without spare capacity even more.
 #[test]
 fn late_requests_are_not_hedged_without_spare_capacity() {
-    const FIRST_COUNTED_REQUEST: usize = 20; // the balancer learns the latency from those before
+    const FIRST_COUNTED_REQUEST: usize = 20; // the balancer learns the latency from earlier requests
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).balancers(300).quotas(&[900.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(6));
 
@@ -41,6 +41,6 @@
         }
     }
 
-    assert!(forwarded > 10, "{forwarded} forwarded");
-    assert_eq!(hedged, 0, "of {forwarded} forwarded");
+    assert!(forwarded > 10, "only {forwarded} requests were forwarded");
+    assert_eq!(hedged, 0, "hedged requests were sent for {forwarded} forwarded requests");
 }
