--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -1,4 +1,5 @@
-//! Input that is out of range, malformed or unknown: it is rejected or ignored, and never causes a panic.
+//! Tests of input that is out of range, malformed or unknown: it is rejected or ignored, and never causes a
+//! panic.
 
 mod common;
 use balancer_core::*;
@@ -21,7 +22,7 @@
     assert!(harness.is_forwarded(id));
 }
 
-/// An operator has to learn which value is wrong.
+/// The error must tell the operator which value is wrong.
 #[test]
 fn settings_out_of_range_are_rejected_and_the_error_names_the_value() {
     let valid = || settings().quotas(&[1.0]).build();
@@ -40,11 +41,11 @@
         (settings().quotas(&[1.0]).classes(vec![zero_objective]).build(), "class latency_objective"),
     ] {
         let error = error_of(invalid).expect(name).to_string();
-        assert!(error.contains(name), "{error} names {name}");
+        assert!(error.contains(name), "the error {error} does not name {name}");
     }
 }
 
-/// A default balancer has no request classes, so that it can forward nothing.
+/// A default balancer has no request classes, so it cannot forward any request.
 #[test]
 fn a_default_balancer_fails_requests_and_does_not_panic() {
     let mut harness = BalancerHarness::new(settings().quotas(&[20.0]).build(), &endpoints(1));
@@ -56,7 +57,7 @@
     assert_eq!(harness.response(id), Some(FinalResponse::Failed));
 }
 
-/// Values that are not finite or far out of range must not spoil what is known of the upstreams.
+/// Values that are far out of range or not finite must not corrupt the state of the upstreams.
 #[test]
 fn malformed_load_reports_and_weights_are_ignored() {
     let settings =
@@ -75,11 +76,11 @@
     harness.play_requests(200, ms(30), |_| Some(Outcome::Ok));
 
     let served = harness.response_count(FinalResponse::Served);
-    assert!(served > 180, "{served} of 200 served");
+    assert!(served > 180, "only {served} of 200 requests were served");
     assert!(harness.attempts_sent_to(UpstreamId(1)) > 20 && harness.attempts_sent_to(UpstreamId(2)) > 20);
 }
 
-/// An embedder may still have events for requests, upstreams and timers that the balancer has forgotten.
+/// An embedder may still deliver events for requests, upstreams and timers that the balancer no longer knows.
 #[test]
 fn events_with_unknown_ids_cause_no_action() {
     let mut harness = BalancerHarness::new(settings().build(), &endpoints(2));
@@ -109,9 +110,9 @@
     }
 }
 
-/// Settings that pass the validation must not make a balancer panic later.
+/// Settings that pass validation must not make a balancer panic later.
 #[test]
-fn a_class_with_a_latency_objective_under_two_ticks_is_served() {
+fn a_request_of_a_class_with_a_latency_objective_under_two_ticks_is_served() {
     let class = request_class(20, 1000, RetrySafety::Idempotent);
     let mut harness = BalancerHarness::new(settings().classes(vec![class]).build(), &endpoints(2));
 
@@ -121,11 +122,11 @@
     assert_eq!(harness.response(id), Some(FinalResponse::Served));
 }
 
-/// A live weight is divided into the largest one seen; where the quotient is beyond the range of numbers, the
-/// upstream would never be chosen again.
+/// The load of an upstream follows from the largest live weight seen, divided by the present one. If the
+/// quotient exceeded the range of floating-point numbers, the upstream would never be chosen again.
 #[test]
-fn an_upstream_with_a_live_weight_at_the_edge_of_the_range_still_takes_requests() {
-    const EXTREME: UpstreamId = UpstreamId(1);
+fn an_upstream_with_extreme_live_weights_still_takes_requests() {
+    const CHECKED_UPSTREAM: UpstreamId = UpstreamId(1);
     let settings = Settings { weight_kind: WeightKind::Live, ..settings().build() };
     let mut harness = BalancerHarness::new(settings, &endpoints(2));
     for weight in [f64::MAX, f64::MIN_POSITIVE] {
@@ -136,5 +137,9 @@
 
     harness.play_requests(100, ms(30), |_| Some(Outcome::Ok));
 
-    assert!(harness.attempts_sent_to(EXTREME) > 20, "{} of 100", harness.attempts_sent_to(EXTREME));
+    assert!(
+        harness.attempts_sent_to(CHECKED_UPSTREAM) > 20,
+        "only {} of 100 requests went to the upstream",
+        harness.attempts_sent_to(CHECKED_UPSTREAM)
+    );
 }
--- a/crates/core/tests/outlier_detection.rs
+++ b/crates/core/tests/outlier_detection.rs
@@ -1,17 +1,17 @@
-//! Outlier detection: upstreams that fail, time out or reject are ejected, per class where others are served,
-//! and return once they have recovered.
+//! Tests of outlier detection. An upstream that fails, times out or rejects requests is ejected, but only for
+//! the affected class if it serves others. It returns once it has recovered.
 
 mod common;
 use balancer_core::*;
 use common::*;
 use std::cell::Cell;
 
-/// Settings with two alike classes of at-most-once requests.
+/// Returns settings with two identical classes of at-most-once requests.
 fn settings_of_two_classes() -> Settings {
     SettingsBuilder::new(RetrySafety::AtMostOnce).class_count(2).build()
 }
 
-/// An upstream that fails at once has no requests in flight and looks the least loaded: without ejection it
+/// An upstream that fails at once has no requests in flight and looks the least loaded. Without ejection, it
 /// would attract most requests.
 #[test]
 fn an_upstream_that_resets_every_connection_is_ejected_and_returns_once_it_has_recovered() {
@@ -23,15 +23,15 @@
         Some(if upstream == faulty { Outcome::Reset } else { Outcome::Ok })
     });
     let attempts_while_faulty = harness.attempts_sent_to(faulty);
-    assert!(attempts_while_faulty <= 4, "{attempts_while_faulty} attempts at the faulty upstream");
+    assert!(attempts_while_faulty <= 4, "the faulty upstream got {attempts_while_faulty} attempts");
 
     harness.play_requests(3000, ms(10), |_| Some(Outcome::Ok));
     let attempts = harness.attempts_sent_to(faulty);
-    assert!(attempts > attempts_while_faulty + 50, "it serves again after it has recovered");
+    assert!(attempts > attempts_while_faulty + 50, "the upstream did not return after it had recovered");
 }
 
-/// How many attempts the least used upstream gets where three of ten attempts end with this outcome.
-fn least_attempts_with_occasional(outcome: Outcome) -> usize {
+/// Returns the number of attempts at the least used upstream if three in ten attempts end with this outcome.
+fn attempts_at_least_used_upstream_with_occasional(outcome: Outcome) -> usize {
     let settings = SettingsBuilder::new(RetrySafety::AtMostOnce).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
     let attempts = Cell::new(0);
@@ -42,19 +42,19 @@
     (1..=4).map(|id| harness.attempts_sent_to(UpstreamId(id))).min().expect("there are upstreams")
 }
 
-/// Single connection resets occur in any network and must not eject upstreams one after another.
+/// Occasional connection resets occur in any network. They must not eject one upstream after another.
 #[test]
 fn occasional_connection_resets_eject_no_upstream() {
-    let with_resets = least_attempts_with_occasional(Outcome::Reset);
-    let without_resets = least_attempts_with_occasional(Outcome::Ok);
+    let attempts_with_resets = attempts_at_least_used_upstream_with_occasional(Outcome::Reset);
+    let attempts_without_resets = attempts_at_least_used_upstream_with_occasional(Outcome::Ok);
 
     assert!(
-        with_resets * 10 >= without_resets * 9,
-        "{with_resets} attempts at the least used upstream, {without_resets} without resets"
+        attempts_with_resets * 10 >= attempts_without_resets * 9,
+        "{attempts_with_resets} attempts at the least used upstream, {attempts_without_resets} without resets"
     );
 }
 
-/// An upstream that accepts connections and never responds.
+/// The upstream accepts connections and never responds.
 #[test]
 fn an_upstream_that_never_responds_gets_few_requests() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
@@ -64,10 +64,10 @@
     harness.play_requests(400, ms(10), |upstream| (upstream != unresponsive).then_some(Outcome::Ok));
 
     let attempts = harness.attempts_sent_to(unresponsive);
-    assert!(attempts * 8 < 400, "{attempts} of 400 went to it");
+    assert!(attempts * 8 < 400, "{attempts} of 400 requests went to the unresponsive upstream");
 }
 
-/// When all upstreams seem faulty the cause is probably elsewhere, and there is no better choice.
+/// If all upstreams seem faulty, the cause is probably elsewhere, and no upstream is a better choice.
 #[test]
 fn requests_are_still_forwarded_when_all_upstreams_are_ejected() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
@@ -78,44 +78,47 @@
 
     harness.play_requests(20, ms(50), |_| Some(Outcome::Ok));
 
-    assert!(harness.forwarded_requests() > forwarded_before, "some request was forwarded");
+    assert!(
+        harness.forwarded_requests() > forwarded_before,
+        "no request was forwarded while all upstreams were ejected"
+    );
 }
 
-/// Whether the upstream responds to requests of the first class.
+/// How the affected upstream handles requests of the first class.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum FirstClass {
+enum FirstClassHandling {
     Served,
     TimesOut,
 }
 
-/// How many requests of each class went to one upstream.
+/// Numbers of requests of each class that went to the affected upstream.
 #[derive(Default)]
 struct AttemptsByClass {
-    first: usize,
-    second: usize,
+    first_class: usize,
+    second_class: usize,
 }
 
-/// Sends requests of two classes, `rounds` of each, to upstreams of which one treats the first class as
-/// stated.
+/// Sends about `requests_per_class` requests of each of two classes. The affected upstream handles the first
+/// class as stated; all other requests are served. Returns how many requests went to the affected upstream.
 fn play_two_classes(
     harness: &mut BalancerHarness,
-    rounds: u64,
+    requests_per_class: u64,
     affected_upstream: UpstreamId,
-    first_class: FirstClass,
+    first_class_handling: FirstClassHandling,
 ) -> AttemptsByClass {
     let mut attempts = AttemptsByClass::default();
-    for request in 0..2 * rounds {
+    for request in 0..2 * requests_per_class {
         let class = (request / 3 % 2) as u16;
         let id = harness.send_request(class, 0, ms(450));
         let Some(upstream) = harness.upstream_of(id, 0) else { continue };
         let is_affected = upstream == affected_upstream;
         if is_affected && class == 0 {
-            attempts.first += 1;
+            attempts.first_class += 1;
         } else if is_affected {
-            attempts.second += 1;
+            attempts.second_class += 1;
         }
         harness.advance(ms(10));
-        if is_affected && class == 0 && first_class == FirstClass::TimesOut {
+        if is_affected && class == 0 && first_class_handling == FirstClassHandling::TimesOut {
             harness.advance(ms(440));
             harness.end_attempt(id, 0, Outcome::TimedOut);
         } else {
@@ -126,24 +129,37 @@
     attempts
 }
 
-/// An upstream may serve one class and time out for another. Only the class that times out goes elsewhere,
-/// and it returns some time after the upstream has recovered.
+/// An upstream may serve one class while requests of another class time out there. Only the latter class must
+/// go to other upstreams, and it must return some time after the upstream has recovered.
 #[test]
 fn timeouts_of_one_class_eject_the_upstream_for_that_class_alone() {
     let mut harness = BalancerHarness::new(settings_of_two_classes(), &endpoints(4));
     let affected = UpstreamId(3);
-    play_two_classes(&mut harness, 50, affected, FirstClass::Served);
+    play_two_classes(&mut harness, 50, affected, FirstClassHandling::Served);
 
-    let ejected = play_two_classes(&mut harness, 400, affected, FirstClass::TimesOut);
-    assert!(ejected.first <= 20, "{} of 400 went where they time out", ejected.first);
-    assert!(ejected.second >= 100, "{} of 400 of the class that is served there", ejected.second);
+    let while_ejected = play_two_classes(&mut harness, 400, affected, FirstClassHandling::TimesOut);
+    assert!(
+        while_ejected.first_class <= 20,
+        "{} of 400 requests of the first class went to the affected upstream",
+        while_ejected.first_class
+    );
+    assert!(
+        while_ejected.second_class >= 100,
+        "only {} of 400 requests of the second class went to the affected upstream",
+        while_ejected.second_class
+    );
 
-    let recovered = play_two_classes(&mut harness, 600, affected, FirstClass::Served);
-    assert!(recovered.first >= 60, "{} of 600 after it has recovered", recovered.first);
+    let after_recovery = play_two_classes(&mut harness, 600, affected, FirstClassHandling::Served);
+    assert!(
+        after_recovery.first_class >= 60,
+        "only {} of 600 requests of the first class went to the upstream after its recovery",
+        after_recovery.first_class
+    );
 }
 
-/// Where many balancers and classes share an upstream that responds to none of them, the requests that find
-/// that out would keep it overloaded: two of each balancer are enough, not two of each class.
+/// If many balancers and classes share an upstream that responds to none of them, the requests that show this
+/// can themselves keep it overloaded. Two requests of each balancer must be enough to eject the upstream for
+/// all classes, rather than two of each class.
 #[test]
 fn an_overloaded_upstream_is_ejected_for_all_classes_after_two_requests() {
     const OVERLOADED_FROM_REQUEST: u16 = 300;
@@ -170,17 +186,18 @@
     }
 
     let attempts = harness.attempts_sent_to(overloaded) - attempts_before;
-    assert!(attempts <= 2, "{attempts} requests were sent to it in one and a half seconds");
+    assert!(attempts <= 2, "the overloaded upstream got {attempts} requests in one and a half seconds");
 }
 
-/// An upstream that rejects a class at once has no requests in flight and looks the least loaded.
+/// An upstream that rejects a class at once has no requests in flight and looks the least loaded, but it must
+/// not attract the class.
 #[test]
-fn an_upstream_that_rejects_a_class_at_once_does_not_attract_it() {
+fn an_upstream_that_rejects_a_class_at_once_does_not_attract_that_class() {
     let mut harness = BalancerHarness::new(settings_of_two_classes(), &endpoints(4));
     let rejecting = UpstreamId(2);
 
     let mut rejected = 0;
-    let mut served_there = 0;
+    let mut served_by_rejecting = 0;
     for request in 0..600u64 {
         let class = (request / 3 % 2) as u16;
         let id = harness.send_request(class, 0, ms(900));
@@ -190,7 +207,7 @@
                 rejected += 1;
                 harness.end_attempt(id, attempt, Outcome::Rejected);
             } else {
-                served_there += usize::from(upstream == rejecting);
+                served_by_rejecting += usize::from(upstream == rejecting);
                 harness.advance(ms(60));
                 harness.end_attempt(id, attempt, Outcome::Ok);
             }
@@ -199,6 +216,9 @@
         harness.advance(ms(10));
     }
 
-    assert!(rejected <= 12, "{rejected} rejected by an upstream that takes none of the class");
-    assert!(served_there >= 60, "{served_there} of the other class served there");
+    assert!(rejected <= 12, "{rejected} requests were sent to an upstream that rejects their class");
+    assert!(
+        served_by_rejecting >= 60,
+        "only {served_by_rejecting} requests of the other class were served by the same upstream"
+    );
 }
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Retries: which requests may be retried, and the retry budget.
+//! Tests of retries: which requests may be retried, and how the retry budget limits them.
 
 mod common;
 use balancer_core::*;
 use common::*;
 
-/// Executing an at-most-once request twice would repeat its effect. Rejecting it would tell the client that
-/// it is safe to send again, so it fails instead.
+/// Executing an at-most-once request twice would repeat its effect. A rejection would tell the client that
+/// the request is safe to send again, so the request fails instead.
 #[test]
 fn an_at_most_once_request_that_may_have_been_executed_fails_without_a_retry() {
     let settings = SettingsBuilder::new(RetrySafety::AtMostOnce).build();
@@ -13,22 +13,22 @@
 
     let id = harness.send_request(0, 0, ms(1000));
     harness.advance(ms(600));
-    assert_eq!(harness.upstream_of(id, 1), None, "it is not hedged");
+    assert_eq!(harness.upstream_of(id, 1), None, "the at-most-once request was hedged");
 
     harness.end_attempt(id, 0, Outcome::Reset);
-    assert_eq!(harness.upstream_of(id, 1), None, "it is not retried");
+    assert_eq!(harness.upstream_of(id, 1), None, "a request that may have been executed was retried");
     assert_eq!(
         harness.response(id),
         Some(FinalResponse::Failed),
-        "a rejection would promise that it is safe to send the request again"
+        "the request did not fail; a rejection would tell the client that it is safe to send again"
     );
 
     let id = harness.send_request(0, 0, ms(1000));
     harness.end_attempt(id, 0, Outcome::ConnectFailed);
-    assert!(harness.upstream_of(id, 1).is_some(), "a request that was not executed is retried");
+    assert!(harness.upstream_of(id, 1).is_some(), "a request that was not executed was not retried");
 }
 
-/// When every upstream fails, unlimited retries would multiply the load on all of them.
+/// If every attempt fails, unlimited retries would multiply the load on all upstreams.
 #[test]
 fn retries_stay_within_the_retry_budget_when_every_attempt_fails() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
@@ -39,11 +39,12 @@
     let requests = harness.forwarded_requests();
     let attempts = harness.total_attempts();
     let limit = requests + requests / 10 + 11;
-    assert!(attempts <= limit, "{attempts} attempts for {requests} requests");
+    assert!(attempts <= limit, "{attempts} attempts were sent for {requests} requests");
 }
 
-/// Hundreds of balancers that each saved a full retry budget would overload their upstreams by spending it
-/// together. The budget of a balancer with few requests is a share of those.
+/// If hundreds of balancers each saved a full retry budget, they could overload their upstreams by spending
+/// it at the same time. The budget that a balancer with few requests may save is therefore a share of those
+/// requests.
 #[test]
 fn the_saved_retry_budget_of_one_of_many_balancers_is_a_share_of_its_requests() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).balancers(300).quotas(&[4800.0]).build();
@@ -54,10 +55,11 @@
     harness.play_requests(16, ms(62), |_| Some(Outcome::Error));
 
     let retries: usize = harness.attempts.values().map(|attempts| attempts.len() - 1).sum();
-    assert!(retries <= 4, "{retries} retries for 16 requests in a second");
+    assert!(retries <= 4, "{retries} retries were sent for 16 requests in a second");
 }
 
-/// Where the upstreams that share an idempotency key are outside the subset, they still warm up.
+/// All upstreams that share an idempotency key may be outside the subset. They warm up there as well, and can
+/// then take a retry.
 #[test]
 fn a_retry_goes_to_an_upstream_outside_the_subset_once_that_has_warmed_up() {
     const SLOW_START_MS: u64 = 2000;
@@ -67,7 +69,7 @@
         .quotas(&[480.0])
         .slow_start(0.2, ms(SLOW_START_MS))
         .build();
-    // Two upstreams in each cell, most of them outside the subset; all have just started.
+    // Each cell has two upstreams, most of which are outside the subset. All upstreams have just started.
     let endpoints: Vec<_> = (0..48)
         .map(|number| {
             let cell = CellId(number / 2);
@@ -75,13 +77,17 @@
             builder.located_in(ZoneId(0), cell).started_at(ms(0)).build()
         })
         .collect();
-    for (warm_up_ms, is_retried) in [(SLOW_START_MS / 2, false), (2 * SLOW_START_MS, true)] {
+    for (elapsed_ms, expects_retry) in [(SLOW_START_MS / 2, false), (2 * SLOW_START_MS, true)] {
         let mut harness = BalancerHarness::new(settings.clone(), &endpoints);
-        harness.advance(ms(warm_up_ms));
+        harness.advance(ms(elapsed_ms));
 
         let id = harness.send_request(0, 0, ms(1000));
         harness.end_attempt(id, 0, Outcome::Reset);
 
-        assert_eq!(harness.upstream_of(id, 1).is_some(), is_retried, "after {warm_up_ms} ms");
+        assert_eq!(
+            harness.upstream_of(id, 1).is_some(),
+            expects_retry,
+            "whether the request is retried {elapsed_ms} ms after the start"
+        );
     }
 }
