--- a/crates/core/tests/slow_start/fleet.rs
+++ b/crates/core/tests/slow_start/fleet.rs
@@ -1,70 +1,75 @@
-//! Many balancers in front of ten warm upstreams, to which one in slow start is added.
+//! Simulation of many balancers with ten warm upstreams, to which one in slow start is added.
 
 use crate::common::*;
 use crate::utilization::UtilizationReports;
 use balancer_core::*;
 use std::time::Duration;
 
-/// The upstream in slow start.
+/// The upstream that is added in slow start.
 pub const NEW_UPSTREAM: UpstreamId = UpstreamId(99);
 const WARM_UPSTREAMS: u64 = 10;
-/// When the new upstream starts.
+/// Time at which the new upstream starts and is listed.
 const NEW_UPSTREAM_AT: Duration = Duration::from_secs(4);
+/// Time at which the simulation ends.
 const END: Duration = Duration::from_secs(12);
 /// Load of the warm upstreams as a share of their capacity.
-const LOAD: f64 = 0.7;
+const LOAD_SHARE: f64 = 0.7;
 const LATENCY: Duration = Duration::from_millis(30);
-/// Latency of the upstreams that are slow by [`Disturbance::RestartsWithSlowUpstreams`].
+/// Latency of the warm upstreams after the start of the new one in
+/// [`Disturbance::RestartsWithSlowUpstreams`].
 const SLOW_LATENCY: Duration = Duration::from_millis(250);
+/// Time between the restarts of two groups of balancers.
 const RESTART_INTERVAL: Duration = Duration::from_millis(1000);
-/// One in so many balancers restarts at a time.
-const BALANCERS_PER_RESTART: u32 = 10;
-/// Distinguishes the seed of a restarted balancer from those before.
-const SEEDS_PER_RESTART: u32 = 1000;
+/// Number of groups of balancers; one group is restarted at a time.
+const RESTART_GROUPS: u32 = 10;
+/// Offset of the seeds for each restart, so that a restarted balancer gets a seed that none had before.
+const SEED_OFFSET_PER_RESTART: u32 = 1000;
+/// Time from the start of the new upstream to the beginning of the pause.
 const PAUSE_BEGINS_AFTER: Duration = Duration::from_millis(500);
+/// Time from the start of the new upstream to the end of the pause.
 const PAUSE_ENDS_AFTER: Duration = Duration::from_millis(5500);
 
-/// What happens besides the start of the new upstream.
+/// A disturbance in addition to the start of the new upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Disturbance {
-    /// Nothing.
+    /// There is no disturbance.
     None,
     /// One in ten balancers restarts every second.
     Restarts,
-    /// The same, while half of the warm upstreams are removed and the others are slow: the new one is the
-    /// fastest by far.
+    /// One in ten balancers restarts every second. In addition, half of the warm upstreams are removed and
+    /// the others become slow when the new one starts, so that the new one is by far the fastest.
     RestartsWithSlowUpstreams,
-    /// Clients send nothing for some seconds and then continue all at once.
+    /// Clients send no requests for some seconds, and then all of them continue at once.
     Pause,
-    /// Attempts at the new upstream fail for every second request of a balancer.
+    /// At the new upstream, the attempts of every second request of a balancer fail.
     Failures,
 }
 
-/// What the upstreams report, and so the capacity that the new one shows.
+/// Load reports of the upstreams, and the capacity of the new one that they show.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NewUpstreamReports {
     /// No upstream reports its utilization.
     None,
-    /// The upstreams report their utilization. The new one has this multiple of the configured capacity, up
-    /// to that of a warm one.
+    /// All upstreams report their utilization. The capacity of the new one is this multiple of the capacity
+    /// that the settings state, up to the capacity of a warm one.
     CapacityMultiple(f64),
 }
 
-/// One run of a fleet.
+/// Parameters of one simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// How many balancers there are.
+    /// Number of balancers.
     pub balancers: u32,
     /// Requests per second of each balancer.
     pub requests_per_second: f64,
-    /// What happens besides.
+    /// Disturbance in addition to the start of the new upstream.
     pub disturbance: Disturbance,
-    /// What the upstreams report.
+    /// Load reports of the upstreams.
     pub reports: NewUpstreamReports,
 }
 
 impl Scenario {
-    /// The settings of one balancer.
+    /// Returns the settings of the balancer with this index.
     pub fn settings(&self, index: u32) -> Settings {
         let reporting = match self.reports {
             NewUpstreamReports::None => LoadReporting::Off,
@@ -81,16 +86,16 @@
             .build()
     }
 
-    /// The capacity of a warm upstream in requests per second.
+    /// Returns the capacity of a warm upstream in requests per second.
     pub fn warm_capacity(&self) -> f64 {
-        self.requests_per_second * f64::from(self.balancers) / LOAD / WARM_UPSTREAMS as f64
+        self.requests_per_second * f64::from(self.balancers) / LOAD_SHARE / WARM_UPSTREAMS as f64
     }
 
     fn total_requests_per_second(&self) -> f64 {
         self.requests_per_second * f64::from(self.balancers)
     }
 
-    /// The capacity of an upstream at this time in requests per second.
+    /// Returns the capacity of an upstream at this time, in requests per second.
     fn capacity(&self, settings: &Settings, now: Duration, upstream: UpstreamId) -> f64 {
         match self.reports {
             NewUpstreamReports::CapacityMultiple(multiple) if upstream == NEW_UPSTREAM => {
@@ -121,7 +126,8 @@
     }
 }
 
-/// The share of a warm upstream's capacity that the settings state for the new one.
+/// Returns the capacity that the settings state for the new upstream at this time, as a share of the capacity
+/// of a warm one.
 pub fn configured_capacity_share(settings: &Settings, now: Duration) -> f64 {
     let age = now.saturating_sub(NEW_UPSTREAM_AT).as_secs_f64();
     let warm_up_progress = (age / settings.slow_start_duration.as_secs_f64()).min(1.0);
@@ -140,40 +146,45 @@
     settings: Settings,
     now: Duration,
     balancers: Vec<BalancerHarness>,
+    /// The endpoint list from the start of the new upstream on.
     endpoints_with_new: Vec<EndpointEntry>,
     has_new_upstream: bool,
+    /// Number of restarts of groups of balancers so far.
     restarts: u32,
     in_flight: Vec<RequestInFlight>,
     utilization: UtilizationReports,
+    /// When each request to the new upstream was sent.
     sent_to_new_upstream: Vec<Duration>,
 }
 
 impl Fleet {
-    /// Plays a scenario. Returns when requests were sent to the new upstream.
+    /// Simulates a scenario. Returns the times at which requests were sent to the new upstream, in ascending
+    /// order.
     pub fn requests_to_new_upstream(scenario: Scenario) -> Vec<Duration> {
         let mut fleet = Self::start(scenario);
         let interval = Duration::from_secs_f64(1.0 / scenario.total_requests_per_second());
-        let mut request = 0;
+        let mut request_number = 0;
         while fleet.now < END {
             fleet.now += interval;
-            request += 1;
-            fleet.step(request);
+            request_number += 1;
+            fleet.step(request_number);
         }
         fleet.sent_to_new_upstream
     }
 
     fn start(scenario: Scenario) -> Self {
-        let warm = endpoints(WARM_UPSTREAMS);
-        let is_halved = scenario.disturbance == Disturbance::RestartsWithSlowUpstreams;
-        let removed = if is_halved { WARM_UPSTREAMS as usize / 2 } else { 0 };
-        let mut endpoints_with_new = warm[removed..].to_vec();
+        let warm_endpoints = endpoints(WARM_UPSTREAMS);
+        let removes_half = scenario.disturbance == Disturbance::RestartsWithSlowUpstreams;
+        let removed_count = if removes_half { WARM_UPSTREAMS as usize / 2 } else { 0 };
+        let mut endpoints_with_new = warm_endpoints[removed_count..].to_vec();
         endpoints_with_new.push(EndpointBuilder::new(NEW_UPSTREAM.0).started_at(NEW_UPSTREAM_AT).build());
-        let start = |index| scenario.start_balancer(index, u64::from(index), &warm, Duration::ZERO);
+        let start_balancer =
+            |index| scenario.start_balancer(index, u64::from(index), &warm_endpoints, Duration::ZERO);
         Self {
             scenario,
             settings: scenario.settings(0),
             now: Duration::ZERO,
-            balancers: (0..scenario.balancers).map(start).collect(),
+            balancers: (0..scenario.balancers).map(start_balancer).collect(),
             endpoints_with_new,
             has_new_upstream: false,
             restarts: 0,
@@ -183,13 +194,13 @@
         }
     }
 
-    fn step(&mut self, request: usize) {
+    fn step(&mut self, request_number: usize) {
         let capacity_of = |upstream| self.scenario.capacity(&self.settings, self.now, upstream);
         self.utilization.advance_to(self.now, capacity_of);
         self.add_new_upstream_when_due();
         self.restart_balancers_when_due();
         self.end_due_requests();
-        self.send_request(request);
+        self.send_request(request_number);
     }
 
     fn add_new_upstream_when_due(&mut self) {
@@ -208,8 +219,8 @@
             return;
         }
         while self.now >= NEW_UPSTREAM_AT + self.restarts * RESTART_INTERVAL {
-            let first = self.restarts % BALANCERS_PER_RESTART;
-            for index in (first..self.scenario.balancers).step_by(BALANCERS_PER_RESTART as usize) {
+            let group = self.restarts % RESTART_GROUPS;
+            for index in (group..self.scenario.balancers).step_by(RESTART_GROUPS as usize) {
                 self.restart_balancer(index);
             }
             self.restarts += 1;
@@ -217,7 +228,7 @@
     }
 
     fn restart_balancer(&mut self, index: u32) {
-        let seed = u64::from(index + SEEDS_PER_RESTART * (self.restarts + 1));
+        let seed = u64::from(index + SEED_OFFSET_PER_RESTART * (self.restarts + 1));
         let position = index as usize;
         self.balancers[position] =
             self.scenario.start_balancer(index, seed, &self.endpoints_with_new, self.now);
@@ -235,9 +246,9 @@
         let balancer = &mut self.balancers[request.balancer];
         balancer.advance_to(self.now);
         let Some(upstream) = balancer.upstream_of(request.id, 0) else { return };
-        let is_every_second = request.id.0 % 2 == 0;
+        let has_even_id = request.id.0 % 2 == 0;
         let fails =
-            self.scenario.disturbance == Disturbance::Failures && upstream == NEW_UPSTREAM && is_every_second;
+            self.scenario.disturbance == Disturbance::Failures && upstream == NEW_UPSTREAM && has_even_id;
         let outcome = if fails { Outcome::Error } else { Outcome::Ok };
         match self.scenario.reports {
             NewUpstreamReports::None => balancer.end_attempt(request.id, 0, outcome),
@@ -248,14 +259,14 @@
         }
     }
 
-    fn send_request(&mut self, request: usize) {
-        let position = request * 7919 % self.balancers.len();
+    fn send_request(&mut self, request_number: usize) {
+        let position = request_number * 7919 % self.balancers.len();
         let balancer = &mut self.balancers[position];
         balancer.advance_to(self.now);
         if self.scenario.is_paused(self.now) {
             return;
         }
-        let class = (request % 2) as u16;
+        let class = (request_number % 2) as u16;
         let id = balancer.send_request(class, 0, ms(600));
         let Some(upstream) = balancer.upstream_of(id, 0) else { return };
         let latency = self.latency(upstream);
@@ -267,8 +278,8 @@
     }
 
     fn latency(&self, upstream: UpstreamId) -> Duration {
-        let are_others_slow =
+        let are_warm_upstreams_slow =
             self.has_new_upstream && self.scenario.disturbance == Disturbance::RestartsWithSlowUpstreams;
-        if are_others_slow && upstream != NEW_UPSTREAM { SLOW_LATENCY } else { LATENCY }
+        if are_warm_upstreams_slow && upstream != NEW_UPSTREAM { SLOW_LATENCY } else { LATENCY }
     }
 }
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -1,5 +1,5 @@
-//! Slow start: an upstream that has just started gets few requests at first. Many balancers together must not
-//! exceed what the settings allow, and the upstream must still get enough requests to warm up.
+//! Tests of slow start: an upstream that has just started gets few requests at first. All balancers together
+//! must not send it more requests than the settings allow, but enough for it to warm up.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -12,13 +12,14 @@
 use balancer_core::*;
 use common::*;
 use fleet::{Disturbance, Fleet, NewUpstreamReports, Scenario};
-use idle_new_upstream::{NEW_UPSTREAM_AT, WARM_CAPACITY};
+use idle_new_upstream::{NEW_UPSTREAM_AT, WARM_CAPACITY_PER_SECOND};
 use std::time::Duration;
 use windows::WindowCounts;
 
-/// Each balancer's share of the budget is less than one request. The sum over all balancers must stay within
-/// the budget in every window: with many of them, while they restart, after a pause in which all have saved
-/// turns, and when attempts fail, so that the upstream is ejected and probed again and again.
+/// Each balancer's share of the request budget is less than one request. The requests of all balancers
+/// together must stay within the budget in every window: with many balancers, while balancers restart, after
+/// a pause in which all of them have saved turns, and when attempts fail, so that the upstream is ejected and
+/// probed repeatedly.
 #[test]
 fn an_upstream_in_slow_start_is_not_overloaded_by_all_balancers_together() {
     for (balancers, requests_per_second) in [(20, 14.0), (30, 14.0), (350, 2.0)] {
@@ -31,19 +32,23 @@
             for reports in [NewUpstreamReports::None, NewUpstreamReports::CapacityMultiple(1.0)] {
                 let scenario = Scenario { balancers, requests_per_second, disturbance, reports };
 
-                let sent = Fleet::requests_to_new_upstream(scenario);
+                let sent_at = Fleet::requests_to_new_upstream(scenario);
 
-                assert!(sent.len() > 20, "{scenario:?}: it warms up by requests, got {}", sent.len());
-                assert_within_budget(scenario, &sent);
+                assert!(
+                    sent_at.len() > 20,
+                    "{scenario:?}: the new upstream got too few requests to warm up: {}",
+                    sent_at.len()
+                );
+                assert_within_budget(scenario, &sent_at);
             }
         }
     }
 }
 
-/// Checks that every window has at most the requests that the settings allow, and what chance adds to them.
-fn assert_within_budget(scenario: Scenario, sent: &[Duration]) {
+/// Asserts that every window has at most as many requests as the settings allow, with a margin for chance.
+fn assert_within_budget(scenario: Scenario, sent_at: &[Duration]) {
     let settings = scenario.settings(0);
-    for window in WindowCounts::new(sent, settings.overload_duration) {
+    for window in WindowCounts::new(sent_at, settings.overload_duration) {
         let capacity =
             scenario.warm_capacity() * fleet::configured_capacity_share(&settings, window.begins_at);
         let budget = settings.overload_factor * capacity * settings.overload_duration.as_secs_f64();
@@ -51,42 +56,43 @@
         let requests = window.requests;
         assert!(
             requests <= limit,
-            "{scenario:?}: {requests} of {limit:.0} in the window from {:?}",
+            "{scenario:?}: {requests} requests exceed the limit of {limit:.0} in the window from {:?}",
             window.begins_at
         );
     }
 }
 
-/// The settings state the least capacity in slow start. An upstream that reports more spare capacity gets
-/// more requests, so that it isn't idle while others are overloaded.
+/// The settings state the least capacity of an upstream in slow start. An upstream that reports more spare
+/// capacity gets more requests, so that it is not idle while others are overloaded.
 #[test]
 fn an_upstream_in_slow_start_that_reports_spare_capacity_gets_more_requests() {
     for (balancers, requests_per_second) in [(20, 14.0), (100, 10.0)] {
-        let requests = |reports| {
+        let requests_to_new_upstream = |reports| {
             let disturbance = Disturbance::None;
             let scenario = Scenario { balancers, requests_per_second, disturbance, reports };
             Fleet::requests_to_new_upstream(scenario).len() as f64
         };
 
-        let without_reports = requests(NewUpstreamReports::None);
-        let with_stated_capacity = requests(NewUpstreamReports::CapacityMultiple(1.0));
-        let with_twice_the_capacity = requests(NewUpstreamReports::CapacityMultiple(2.0));
+        let without_reports = requests_to_new_upstream(NewUpstreamReports::None);
+        let with_stated_capacity = requests_to_new_upstream(NewUpstreamReports::CapacityMultiple(1.0));
+        let with_twice_the_capacity = requests_to_new_upstream(NewUpstreamReports::CapacityMultiple(2.0));
 
         assert!(
             with_twice_the_capacity > 1.3 * without_reports,
-            "{balancers} balancers: {with_twice_the_capacity} against {without_reports}"
+            "{balancers} balancers: {with_twice_the_capacity} requests, {without_reports} without reports"
         );
         assert!(
             with_twice_the_capacity > with_stated_capacity,
-            "{balancers} balancers: {with_twice_the_capacity} against {with_stated_capacity}"
+            "{balancers} balancers: {with_twice_the_capacity} requests, \
+             {with_stated_capacity} with the stated capacity"
         );
     }
 }
 
-/// A balancer that has seen few responses admits little, so upstreams in slow start would get few turns and
-/// few responses would follow. The quotas stand for the load that is not seen.
+/// A balancer that has seen few responses admits few requests. Upstreams in slow start would then get few
+/// turns and return few responses. The expected load that follows from the quotas breaks this feedback loop.
 #[test]
-fn upstreams_in_slow_start_get_requests_again_after_no_attempt_was_served_for_long() {
+fn upstreams_in_slow_start_get_requests_again_after_a_long_time_without_served_attempts() {
     let settings = SettingsBuilder::new(RetrySafety::AtMostOnce)
         .slow_start(0.2, ms(60_000))
         .quotas(&[20.0])
@@ -107,14 +113,14 @@
     }
     let forwarded_before = harness.forwarded_requests();
 
-    // A third of the quota: the upstreams have half of their capacity by now and can serve that.
+    // The rate is a third of the quota. The upstreams have half of their capacity by now and can serve it.
     harness.play_requests(40, ms(150), |_| Some(Outcome::Ok));
 
     let forwarded = harness.forwarded_requests() - forwarded_before;
-    assert!(forwarded >= 36, "{forwarded} of 40 forwarded once the upstreams respond");
+    assert!(forwarded >= 36, "only {forwarded} of 40 requests were forwarded once the upstreams responded");
 }
 
-/// A new upstream is idle while the others are loaded, so every balancer prefers it. All of them together
+/// A new upstream is idle while the others are loaded, so every balancer prefers it. All balancers together
 /// must still not send it more than the configured multiple of its capacity in any window.
 #[test]
 fn an_idle_new_upstream_is_not_overloaded_by_all_balancers_together() {
@@ -134,18 +140,18 @@
                 .build()
         };
 
-        let sent = idle_new_upstream::attempts_at_new_upstream(settings_of, balancers);
+        let sent_at = idle_new_upstream::attempts_at_new_upstream(settings_of, balancers);
 
-        assert!(sent.len() > 10, "the new upstream warms up by requests, got {}", sent.len());
-        for window in WindowCounts::new(&sent, OVERLOAD_DURATION) {
+        assert!(sent_at.len() > 10, "the new upstream got too few requests to warm up: {}", sent_at.len());
+        for window in WindowCounts::new(&sent_at, OVERLOAD_DURATION) {
             let age = window.begins_at.saturating_sub(NEW_UPSTREAM_AT).as_secs_f64();
-            // With a second of tolerance.
-            let capacity = WARM_CAPACITY * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
+            // One second is added to the age as a tolerance.
+            let capacity = WARM_CAPACITY_PER_SECOND * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
             let budget = OVERLOAD_FACTOR * capacity * OVERLOAD_SECONDS;
             let requests = window.requests;
             assert!(
                 requests <= budget,
-                "{requests} in two seconds from {:?}, a budget of {budget}",
+                "{requests} requests in two seconds from {:?} exceed the budget of {budget}",
                 window.begins_at
             );
         }
--- a/crates/core/tests/slow_start/windows.rs
+++ b/crates/core/tests/slow_start/windows.rs
@@ -1,25 +1,27 @@
-//! Counts of requests in time windows.
+//! Counts the requests in time windows.
 
 use std::time::Duration;
 
-/// The requests in the window that begins with one of them.
+/// A time window that begins with a request, and the number of requests in it.
 pub struct Window {
-    /// When the first request of the window was sent.
+    /// When the first request in the window was sent.
     pub begins_at: Duration,
-    /// How many requests the window has.
+    /// Number of requests in the window, including the first.
     pub requests: f64,
 }
 
-/// One window for each request, by the times at which they were sent, in ascending order.
+/// Iterator over the windows of a fixed length, one of which begins with each request.
 pub struct WindowCounts<'a> {
-    sent: &'a [Duration],
+    /// Times at which the remaining requests were sent, in ascending order.
+    sent_at: &'a [Duration],
     length: Duration,
 }
 
 impl<'a> WindowCounts<'a> {
-    /// Windows of this length.
-    pub fn new(sent: &'a [Duration], length: Duration) -> Self {
-        Self { sent, length }
+    /// Creates an iterator over the windows of this length. `sent_at` has the times at which the requests
+    /// were sent, in ascending order.
+    pub fn new(sent_at: &'a [Duration], length: Duration) -> Self {
+        Self { sent_at, length }
     }
 }
 
@@ -27,10 +29,10 @@
     type Item = Window;
 
     fn next(&mut self) -> Option<Window> {
-        let (begins_at, later) = self.sent.split_first()?;
+        let (begins_at, later) = self.sent_at.split_first()?;
         let ends_at = *begins_at + self.length;
-        let requests = self.sent.iter().take_while(|sent_at| **sent_at < ends_at).count() as f64;
-        self.sent = later;
+        let requests = self.sent_at.iter().take_while(|time| **time < ends_at).count() as f64;
+        self.sent_at = later;
         Some(Window { begins_at: *begins_at, requests })
     }
 }
