--- a/crates/core/tests/cancellation.rs
+++ b/crates/core/tests/cancellation.rs
@@ -31,7 +31,7 @@
 
         let slow_request = harness.send_request(0, 0, ms(1000));
         let Some(&Action::SendAttempt { upstream, timeout: None, .. }) = harness.last_actions.last() else {
-            panic!("the request was not sent without a timeout of its own: {:?}", harness.last_actions)
+            panic!("the request was not sent, or has a timeout of its own: {:?}", harness.last_actions)
         };
         let mut cancelled_after_ms = None;
         for step in 1..=30 {
--- a/crates/core/tests/hedging.rs
+++ b/crates/core/tests/hedging.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 #[test]
-fn an_overdue_attempt_is_hedged_at_another_upstream_and_cancelled_when_the_hedge_is_served() {
+fn an_overdue_attempt_is_hedged_at_another_upstream_and_cancelled_when_the_hedged_request_is_served() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(3));
 
