--- a/crates/core/tests/common/builders.rs
+++ b/crates/core/tests/common/builders.rs
@@ -1,4 +1,4 @@
-//! Builders for the settings and the endpoint entries of a test.
+//! Builders for a balancer's settings and for entries of the endpoint list.
 
 use balancer_core::*;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 /// Deadline of the class that [`SettingsBuilder::new`] starts with.
 const DEFAULT_DEADLINE_MS: u64 = 1000;
 
-/// Shorthand for a duration in milliseconds.
+/// Returns a duration of this many milliseconds.
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A request class that differs from the default in these values.
+/// Returns a request class with these values. Its other values are the defaults.
 pub fn request_class(latency_objective_ms: u64, deadline_ms: u64, retry_safety: RetrySafety) -> RequestClass {
     RequestClass {
         latency_objective: ms(latency_objective_ms),
@@ -23,23 +23,24 @@
     }
 }
 
-/// A ready endpoint of weight 1 that is not in slow start.
+/// Returns a ready endpoint of weight 1 without a process start. It is in slow start only if it first appears
+/// after the balancer's start.
 pub fn endpoint(id: u64) -> EndpointEntry {
     EndpointBuilder::new(id).build()
 }
 
-/// Ready endpoints with the ids from 1 to `count`.
+/// Returns ready endpoints with the ids from 1 to `count`, see [`endpoint`].
 pub fn endpoints(count: u64) -> Vec<EndpointEntry> {
     (1..=count).map(endpoint).collect()
 }
 
-/// Builds an endpoint entry, from one that is ready, of weight 1 and not in slow start.
+/// Builder for an entry of the endpoint list. It starts with the defaults of [`endpoint`].
 pub struct EndpointBuilder {
     entry: EndpointEntry,
 }
 
 impl EndpointBuilder {
-    /// Starts with a ready endpoint.
+    /// Creates a builder for a ready endpoint with this id.
     pub fn new(id: u64) -> Self {
         let entry = EndpointEntry {
             id: UpstreamId(id),
@@ -53,50 +54,52 @@
         Self { entry }
     }
 
-    /// Places the endpoint in a zone and a cell.
+    /// Sets the endpoint's zone and cell.
     pub fn located_in(mut self, zone: ZoneId, cell: CellId) -> Self {
         self.entry.zone = zone;
         self.entry.cell = cell;
         self
     }
 
-    /// Sets whether the endpoint takes requests.
+    /// Sets whether the endpoint accepts requests, is draining or was removed.
     pub fn availability(mut self, availability: Availability) -> Self {
         self.entry.availability = availability;
         self
     }
 
-    /// Sets the weight.
+    /// Sets the endpoint's weight.
     pub fn weight(mut self, weight: f64) -> Self {
         self.entry.weight = weight;
         self
     }
 
-    /// Sets when the process of the endpoint started: slow start begins there.
+    /// Sets the time on the balancer's clock at which the endpoint's process started; `None` if it is
+    /// unknown. Slow start begins at that time.
     pub fn started_at(mut self, started_at: impl Into<Option<Duration>>) -> Self {
         self.entry.process_start = started_at.into().map_or(ProcessStart::Unknown, ProcessStart::At);
         self
     }
 
-    /// Sets the start of the process by the wall clock, and how long ago it was by that clock.
+    /// Sets a start of the endpoint's process by the wall clock: `incarnation` identifies the start, and
+    /// `age` is the time since then.
     pub fn started_by_wall_clock(mut self, incarnation: u64, age: Duration) -> Self {
         self.entry.process_start = ProcessStart::ByWallClock { incarnation, age };
         self
     }
 
-    /// The entry.
+    /// Returns the entry.
     pub fn build(self) -> EndpointEntry {
         self.entry
     }
 }
 
-/// Builds the settings of one balancer with one request class.
+/// Builder for the settings of one balancer. It starts with a single request class.
 pub struct SettingsBuilder {
     settings: Settings,
 }
 
 impl SettingsBuilder {
-    /// Starts with the default settings and one class of this retry safety.
+    /// Creates a builder with the default settings and one class of this retry safety.
     pub fn new(retry_safety: RetrySafety) -> Self {
         let class = request_class(DEFAULT_LATENCY_OBJECTIVE_MS, DEFAULT_DEADLINE_MS, retry_safety);
         Self { settings: Settings { classes: vec![class], ..Settings::default() } }
@@ -108,7 +111,7 @@
         self
     }
 
-    /// Sets how many classes like the first there are.
+    /// Replaces the request classes with `count` copies of the first one.
     pub fn class_count(mut self, count: usize) -> Self {
         let first = self.settings.classes[0].clone();
         self.settings.classes = vec![first; count];
@@ -121,38 +124,39 @@
         self
     }
 
-    /// Sets the share of the priority weight that a late response of the first class earns.
+    /// Sets the share of the priority weight that a response of the first class earns after the latency
+    /// objective.
     pub fn late_priority_weight(mut self, weight: f64) -> Self {
         self.settings.classes[0].late_priority_weight = weight;
         self
     }
 
-    /// Sets how many balancers share the upstreams.
+    /// Sets the number of balancers that share the upstreams.
     pub fn balancers(mut self, balancers: u32) -> Self {
         self.settings.balancers = balancers;
         self
     }
 
-    /// Sets the position of this balancer.
+    /// Sets the index of this balancer among all balancers, from 0.
     pub fn index(mut self, index: u32) -> Self {
         self.settings.index = index;
         self
     }
 
-    /// Sets the tenants, by their quotas in requests per second over all balancers.
+    /// Replaces the tenants with one for each quota, in requests per second over all balancers.
     pub fn quotas(mut self, quotas_per_second: &[f64]) -> Self {
         let tenant = |quota: &f64| Tenant { quota_per_second: *quota };
         self.settings.tenants = quotas_per_second.iter().map(tenant).collect();
         self
     }
 
-    /// Sets the share of the priority weight that a request over quota earns.
+    /// Sets the share of the priority weight that a request over its tenant's quota earns.
     pub fn over_quota_weight(mut self, weight: f64) -> Self {
         self.settings.over_quota_weight = weight;
         self
     }
 
-    /// Sets whether two attempts of a request may be in flight at once.
+    /// Sets whether two attempts of one request may be in flight at once.
     pub fn hedging(mut self, hedging: bool) -> Self {
         self.settings.hedging = hedging;
         self
@@ -164,7 +168,7 @@
         self
     }
 
-    /// Sets how many attempts a request may have.
+    /// Sets the maximum number of attempts of one request, including the first.
     pub fn max_attempts(mut self, max_attempts: u8) -> Self {
         self.settings.max_attempts = max_attempts;
         self
@@ -176,47 +180,49 @@
         self
     }
 
-    /// Sets whether the balancer has to poll for the endpoint list.
+    /// Sets whether the balancer starts watches of the endpoint list itself.
     pub fn starts_watches(mut self, starts_watches: bool) -> Self {
         self.settings.starts_watches = starts_watches;
         self
     }
 
-    /// Sets after how long without a poll the balancer counts as notified.
+    /// Sets the time since its last poll of discovery after which the balancer counts as notified of all
+    /// changes up to then.
     pub fn poll_interval(mut self, poll_interval: Duration) -> Self {
         self.settings.poll_interval = poll_interval;
         self
     }
 
-    /// Sets how upstreams report their load, and the values of a report.
+    /// Sets how upstreams report their load, and the meanings of the values in a load report.
     pub fn load_reports(mut self, reporting: LoadReporting, fields: &[LoadField]) -> Self {
         self.settings.load_reporting = reporting;
         self.settings.load_report_fields = fields.to_vec();
         self
     }
 
-    /// Sets the capacity at the beginning of slow start, as a share of the full one, and how long slow start
-    /// takes.
+    /// Sets the share of its full capacity that an upstream has when slow start begins, and the duration of
+    /// slow start.
     pub fn slow_start(mut self, floor: f64, duration: Duration) -> Self {
         self.settings.slow_start_floor = floor;
         self.settings.slow_start_duration = duration;
         self
     }
 
-    /// Sets the multiple of its capacity, and over which time, that overloads an upstream in slow start.
+    /// Sets the multiple of its current capacity that overloads an upstream in slow start, and the time for
+    /// which the load must exceed it.
     pub fn overload(mut self, factor: f64, duration: Duration) -> Self {
         self.settings.overload_factor = factor;
         self.settings.overload_duration = duration;
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> Settings {
         self.settings
     }
 }
 
-/// Six request classes: each retry safety, and a streamed one.
+/// Returns six request classes: one for each retry safety and deduplication scope, and a streamed one.
 pub fn classes_of_each_retry_safety() -> Vec<RequestClass> {
     let deduplicated = |scope, ttl_ms| RetrySafety::Deduplicated { scope, ttl: ms(ttl_ms) };
     let streamed = RequestClass { streamed: true, ..request_class(300, 900, RetrySafety::Idempotent) };
@@ -230,16 +236,19 @@
     ]
 }
 
-/// How many requests a balancer gets, and what it may use.
+/// Amount of traffic that each balancer gets, with the settings that are typical of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Traffic {
-    /// A single balancer that is notified of endpoint updates and gets a load report with every response.
+    /// A single balancer gets all requests. Its embedder watches the endpoint list, and upstreams report
+    /// their load with every response.
     Dense,
-    /// One of hundreds of balancers. It polls for the endpoint list and learns the load by health checks.
+    /// Each of 500 balancers gets few requests. It starts watches of the endpoint list itself, and upstreams
+    /// report their load with health checks only.
     Sparse,
 }
 
-/// Starts with all classes and with tenants inside, above and without a quota.
+/// Creates a builder with six request classes, which cover each retry safety, and with three tenants: two
+/// with different quotas and one without a quota.
 pub fn settings_of_all_classes(traffic: Traffic) -> SettingsBuilder {
     let is_sparse = traffic == Traffic::Sparse;
     let reporting = if is_sparse { LoadReporting::OnHealthCheck } else { LoadReporting::Inline };
--- a/crates/core/tests/common/harness.rs
+++ b/crates/core/tests/common/harness.rs
@@ -1,30 +1,30 @@
-//! An embedder for tests: it keeps the time, fires timers and records what the balancer did for each request.
+//! An embedder for tests. It simulates the clock, fires timers and records the balancer's actions.
 
 use super::ms;
 use balancer_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Seed of a balancer where a test needs no particular one.
+/// Seed of a balancer whose test needs no particular one.
 const DEFAULT_SEED: u64 = 7;
 
-/// The one final response that a client gets.
+/// Final response to a request. Each request gets exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// An upstream served the request.
     Served,
-    /// The balancer rejected the request: it was not executed, or executing it again is harmless.
+    /// The balancer rejected the request, which was not executed or can be executed again without harm.
     Rejected,
-    /// The request failed and may have been executed.
+    /// The balancer responded with an error. The request may have been executed.
     Failed,
 }
 
-/// An attempt that the balancer asked the harness to send.
+/// Attempt that the balancer asked its embedder to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
-    /// The upstream it went to.
+    /// Upstream that the attempt was sent to.
     pub upstream: UpstreamId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Duration,
 }
 
@@ -33,34 +33,35 @@
     timer: TimerId,
 }
 
-/// A balancer with its clock, its pending timers and a record of its actions.
+/// Embedder of one balancer, with a simulated clock, the pending timers and a record of the balancer's
+/// actions.
 pub struct BalancerHarness {
-    /// The balancer under test.
+    /// Balancer under test.
     pub balancer: Balancer,
-    /// The present time.
+    /// Current time on the simulated clock.
     pub now: Duration,
-    /// The actions that followed the last event.
+    /// Actions that the balancer returned for the last event.
     pub last_actions: Vec<Action>,
-    /// The attempts of each request that was forwarded.
+    /// Attempts of each forwarded request, in the order in which they were sent.
     pub attempts: BTreeMap<RequestId, Vec<SentAttempt>>,
-    /// When the balancer polled for the endpoint list.
+    /// Times at which the balancer watched or fetched the endpoint list.
     pub endpoint_polls: Vec<Duration>,
     responses: BTreeMap<RequestId, FinalResponse>,
     health_checks: Vec<UpstreamId>,
     pending_timers: Vec<PendingTimer>,
-    last_request: u32,
+    last_request_id: u32,
 }
 
 impl BalancerHarness {
-    /// Starts a balancer at time zero with this endpoint list as its cached one.
+    /// Starts a balancer at time zero with a default seed and this cached endpoint list.
     pub fn new(settings: Settings, endpoints: &[EndpointEntry]) -> Self {
         Self::starting_at(Duration::ZERO, settings, DEFAULT_SEED, endpoints)
     }
 
-    /// Starts a balancer at this time, with this seed and this endpoint list as its cached one.
+    /// Starts a balancer at time `now` with this seed and this cached endpoint list.
     pub fn starting_at(now: Duration, settings: Settings, seed: u64, endpoints: &[EndpointEntry]) -> Self {
         let mut harness = Self {
-            balancer: Balancer::new(settings, seed).expect("valid settings"),
+            balancer: Balancer::new(settings, seed).expect("the settings are valid"),
             now,
             last_actions: Vec::new(),
             attempts: BTreeMap::new(),
@@ -68,13 +69,13 @@
             responses: BTreeMap::new(),
             health_checks: Vec::new(),
             pending_timers: Vec::new(),
-            last_request: 0,
+            last_request_id: 0,
         };
         harness.update_endpoints(UpdateScope::Cached, endpoints);
         harness
     }
 
-    /// Delivers one event and records the actions that follow.
+    /// Delivers one event to the balancer and records the actions that it returns.
     pub fn deliver(&mut self, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.last_actions);
         actions.clear();
@@ -106,37 +107,37 @@
         }
     }
 
-    /// Advances the clock by this duration and fires each timer when it falls due.
+    /// Advances the clock by this duration and fires each timer at the time at which it is due.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
-        while let Some(due) = self.next_timer_until(end) {
-            self.now = due.due_at;
-            self.deliver(Event::TimerFired { timer: due.timer });
+        while let Some(due_timer) = self.next_timer_until(end) {
+            self.now = due_timer.due_at;
+            self.deliver(Event::TimerFired { timer: due_timer.timer });
         }
         self.now = end;
     }
 
-    /// Advances the clock to this time; does nothing if it has passed.
+    /// Advances the clock to this time; does nothing if the time has passed.
     pub fn advance_to(&mut self, time: Duration) {
         self.advance(time.saturating_sub(self.now));
     }
 
-    /// Takes the timer that falls due first, unless that is after `end`.
+    /// Removes and returns the timer that is due first, unless it is due after `end`.
     fn next_timer_until(&mut self, end: Duration) -> Option<PendingTimer> {
         self.pending_timers.sort_by_key(|pending| pending.due_at);
-        let is_due = self.pending_timers.first().is_some_and(|pending| pending.due_at <= end);
-        is_due.then(|| self.pending_timers.remove(0))
+        let has_due_timer = self.pending_timers.first().is_some_and(|pending| pending.due_at <= end);
+        has_due_timer.then(|| self.pending_timers.remove(0))
     }
 
-    /// Delivers an update of the endpoint list.
+    /// Delivers an update of the endpoint list with this scope.
     pub fn update_endpoints(&mut self, scope: UpdateScope, entries: &[EndpointEntry]) {
         self.deliver(Event::EndpointUpdate { scope, entries });
     }
 
-    /// Delivers a request of this class and tenant whose client waits for `time_left`.
+    /// Delivers a new request of this class and tenant, whose client waits for `time_left`.
     pub fn send_request(&mut self, class: u16, tenant: u32, time_left: Duration) -> RequestId {
-        self.last_request += 1;
-        let id = RequestId(self.last_request);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         self.deliver(Event::RequestArrived {
             id,
             class: ClassId(class),
@@ -148,42 +149,43 @@
         id
     }
 
-    /// The upstream that an attempt was sent to, if there is such an attempt.
+    /// Returns the upstream that an attempt was sent to; `None` if there is no such attempt.
     pub fn upstream_of(&self, id: RequestId, attempt: usize) -> Option<UpstreamId> {
         self.attempts.get(&id).and_then(|sent| sent.get(attempt)).map(|sent| sent.upstream)
     }
 
-    /// Whether the request was forwarded to an upstream.
+    /// Returns whether any attempt of the request was sent.
     pub fn is_forwarded(&self, id: RequestId) -> bool {
         self.attempt_count(id) > 0
     }
 
-    /// How many attempts of this request were sent.
+    /// Returns the number of attempts of the request that were sent.
     pub fn attempt_count(&self, id: RequestId) -> usize {
         self.attempts.get(&id).map_or(0, Vec::len)
     }
 
-    /// Whether the last event made the balancer cancel this attempt.
+    /// Returns whether the balancer cancelled this attempt in response to the last event.
     pub fn has_cancelled(&self, id: RequestId, attempt: usize) -> bool {
         self.last_actions.contains(&Action::CancelAttempt { id, attempt: AttemptIndex(attempt as u8) })
     }
 
-    /// The final response of the request, if it has one.
+    /// Returns the final response to the request; `None` if it has none yet.
     pub fn response(&self, id: RequestId) -> Option<FinalResponse> {
         self.responses.get(&id).copied()
     }
 
-    /// How many requests got this final response.
+    /// Returns the number of requests with this final response.
     pub fn response_count(&self, response: FinalResponse) -> usize {
         self.responses.values().filter(|recorded| **recorded == response).count()
     }
 
-    /// Ends an attempt with this outcome, and the request with it if it was served.
+    /// Ends an attempt with this outcome and without a load report. [`Outcome::Ok`] also finishes the
+    /// request.
     pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         self.end_attempt_with_report(id, attempt, outcome, &[]);
     }
 
-    /// Like [`Self::end_attempt`], with the load report that came with the response.
+    /// Ends an attempt with this outcome and this load report. [`Outcome::Ok`] also finishes the request.
     pub fn end_attempt_with_report(
         &mut self,
         id: RequestId,
@@ -207,7 +209,7 @@
         });
     }
 
-    /// Ends the attempts that the request has by now. A retry that follows stays in flight.
+    /// Ends each attempt that the request has now. A retry that the balancer then sends stays in flight.
     pub fn end_all_attempts(&mut self, id: RequestId, outcome: Outcome) {
         for attempt in 0..self.attempt_count(id) {
             self.end_attempt(id, attempt, outcome);
@@ -219,13 +221,13 @@
         self.deliver(Event::HealthCheckEnded { upstream, outcome: Outcome::Ok, latency: ms(1), load_report });
     }
 
-    /// Takes the upstreams whose health the balancer wants checked.
+    /// Removes and returns the upstreams that the balancer has asked to check.
     pub fn take_health_checks(&mut self) -> Vec<UpstreamId> {
         std::mem::take(&mut self.health_checks)
     }
 
-    /// Sends requests of the first class one after another. Each attempt ends at once with the outcome that
-    /// its upstream has by `outcome_of`; where that is `None`, it stays in flight.
+    /// Sends `count` requests of the first class, one per `interval`. Each attempt ends at once with the
+    /// outcome that `outcome_of` returns for its upstream, or stays in flight if that is `None`.
     pub fn play_requests(
         &mut self,
         count: usize,
@@ -245,17 +247,17 @@
         }
     }
 
-    /// How many requests were forwarded.
+    /// Returns the number of requests that were forwarded to an upstream.
     pub fn forwarded_requests(&self) -> usize {
         self.attempts.len()
     }
 
-    /// How many attempts were sent, over all requests.
+    /// Returns the number of attempts that were sent for all requests together.
     pub fn total_attempts(&self) -> usize {
         self.attempts.values().map(Vec::len).sum()
     }
 
-    /// How many attempts were sent to this upstream.
+    /// Returns the number of attempts that were sent to this upstream.
     pub fn attempts_sent_to(&self, upstream: UpstreamId) -> usize {
         self.attempts.values().flatten().filter(|sent| sent.upstream == upstream).count()
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Set-up shared by the tests: builders for settings and endpoint lists, and a harness that plays the
-//! embedder.
-#![allow(dead_code, unused_imports, reason = "each test file uses its part")]
+//! Test support: builders for settings and endpoint lists, and an embedder that runs a balancer in simulated
+//! time.
+#![allow(dead_code, unused_imports, reason = "each test crate uses only some of the items")]
 
 mod builders;
 mod harness;
--- a/crates/core/tests/common/pending_requests.rs
+++ b/crates/core/tests/common/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight whose end a test has already planned.
+//! Requests in flight whose attempts end at a scheduled time with a known outcome.
 
 use super::BalancerHarness;
 use balancer_core::*;
@@ -10,19 +10,20 @@
     outcome: Outcome,
 }
 
-/// Requests in flight, in the order in which they were sent, with the time and the outcome of their attempts.
+/// Requests in flight, in the order in which they were added, each with the time at which its attempts end
+/// and their outcome.
 #[derive(Default)]
 pub struct PendingRequests {
     pending: Vec<PendingRequest>,
 }
 
 impl PendingRequests {
-    /// Plans the end of the attempts of a request.
+    /// Schedules the end of a request's attempts.
     pub fn push(&mut self, id: RequestId, ends_at: Duration, outcome: Outcome) {
         self.pending.push(PendingRequest { id, ends_at, outcome });
     }
 
-    /// Ends the attempts of the requests that are due by now.
+    /// Ends the attempts of each request whose end is due at the harness's current time or earlier.
     pub fn end_due(&mut self, harness: &mut BalancerHarness) {
         while let Some(position) = self.pending.iter().position(|request| request.ends_at <= harness.now) {
             let request = self.pending.remove(position);
