--- a/crates/core/tests/golden/generator.rs
+++ b/crates/core/tests/golden/generator.rs
@@ -1,12 +1,13 @@
-//! Random numbers that depend on a seed alone.
+//! Random numbers that depend only on a seed.
 
 use std::time::Duration;
 
-/// Numbers from a seed (SplitMix64), independent of any crate's version.
-pub struct Generator(pub u64);
+/// SplitMix64 random number generator. Its sequence does not depend on the version of any crate.
+pub struct RandomGenerator(pub u64);
 
-impl Generator {
-    pub fn next(&mut self) -> u64 {
+impl RandomGenerator {
+    /// Returns a number from the whole range of `u64`.
+    pub fn any_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -14,16 +15,18 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number from 0 up to, but not including, `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.next() % bound
+        self.any_u64() % bound
     }
 
-    pub fn percent(&mut self, chance: u64) -> bool {
-        self.below(100) < chance
+    /// Returns `true` with this probability in percent.
+    pub fn bool_with_percent(&mut self, probability_percent: u64) -> bool {
+        self.below(100) < probability_percent
     }
 
-    /// A time between nothing and twice `mean`.
-    pub fn around(&mut self, mean: Duration) -> Duration {
+    /// Returns a duration between zero and twice `mean`, uniformly distributed.
+    pub fn duration_with_mean(&mut self, mean: Duration) -> Duration {
         Duration::from_nanos(self.below(2 * mean.as_nanos() as u64 + 1))
     }
 }
--- a/crates/core/tests/golden/main.rs
+++ b/crates/core/tests/golden/main.rs
@@ -1,75 +1,86 @@
-//! A golden test of the decisions: a generated history of events for each of several settings, and a hash
-//! over every action that a balancer returns. A change that is meant to leave the decisions as they are
-//! leaves the hashes as they are.
+//! A golden test of the balancer's decisions. Each scenario runs a balancer with its own settings through a
+//! generated history of events, and a hash over all actions that the balancer returns is compared with a
+//! recorded one. A change that is not meant to change decisions must not change any hash.
 //!
-//! Only numbers enter the hashes, never a type's name, so that renaming a type changes nothing here. The end
-//! of a health check is not covered, as the balancer sends none.
+//! The hashes depend on the values in the actions, not on the names of types, so that types can be renamed.
+//! The end of a health check is not covered, because the balancer requests no health checks.
 
 mod action_hash;
 mod generator;
 mod scenario;
-mod world;
+mod simulation;
 
 use scenario::scenarios;
+use simulation::Simulation;
 use std::collections::BTreeMap;
-use world::World;
 
-/// Events that are generated for each scenario, the answers to the balancer's own actions included.
+/// Number of events in each scenario, including those that result from the balancer's actions.
 const EVENTS_PER_SCENARIO: usize = 40_000;
-/// What is left of a scenario: the hash of all actions, and the entries of state at its end.
+/// Values at the end of a scenario that the test compares.
 #[derive(Debug, PartialEq)]
-struct Recorded {
+struct ScenarioResult {
     scenario: &'static str,
+    /// Hash over all actions that the balancer has returned.
     action_hash: u64,
-    state_entries: usize,
+    /// Number of entries in the balancer's state.
+    state_entry_count: usize,
 }
 
-const fn recorded(scenario: &'static str, action_hash: u64, state_entries: usize) -> Recorded {
-    Recorded { scenario, action_hash, state_entries }
+const fn scenario_result(
+    scenario: &'static str,
+    action_hash: u64,
+    state_entry_count: usize,
+) -> ScenarioResult {
+    ScenarioResult { scenario, action_hash, state_entry_count }
 }
 
-/// Recorded before the code was rearranged. Changed only together with an intended change of the decisions.
-const RECORDED: [Recorded; 8] = [
-    recorded("small fleet", 0x9e28_9340_fc2b_ffd7, 154),
-    recorded("large fleet", 0xceb0_7a67_3d84_7fed, 749),
-    recorded("polled list", 0x5d87_0e67_8667_ab54, 202),
-    recorded("live weights", 0xd00e_6464_67f9_8f8f, 148),
-    recorded("no cancelling", 0x7869_b94a_d9af_ba6c, 138),
-    recorded("thin traffic", 0x74ce_a040_3b28_e480, 567),
-    recorded("crowded", 0x9a5d_1cfb_5384_30cf, 408),
-    recorded("outage", 0xd7e1_bdea_d09f_cb7c, 344),
+/// Results that were recorded before the code was restructured. They are changed only together with an
+/// intended change of the decisions.
+const RECORDED_RESULTS: [ScenarioResult; 8] = [
+    scenario_result("small fleet", 0x9e28_9340_fc2b_ffd7, 154),
+    scenario_result("large fleet", 0xceb0_7a67_3d84_7fed, 749),
+    scenario_result("polled endpoint list", 0x5d87_0e67_8667_ab54, 202),
+    scenario_result("live weights", 0xd00e_6464_67f9_8f8f, 148),
+    scenario_result("no cancellation", 0x7869_b94a_d9af_ba6c, 138),
+    scenario_result("sparse traffic", 0x74ce_a040_3b28_e480, 567),
+    scenario_result("crowded", 0x9a5d_1cfb_5384_30cf, 408),
+    scenario_result("outage", 0xd7e1_bdea_d09f_cb7c, 344),
 ];
 
-/// Plays a scenario to its end.
-fn play(position: usize, scenario: scenario::Scenario) -> World {
-    let mut world = World::new(scenario, 23 + position as u64);
+/// Runs a scenario to its end. The seed depends on the scenario's index in [`scenarios`].
+fn run(index: usize, scenario: scenario::Scenario) -> Simulation {
+    let mut simulation = Simulation::new(scenario, 23 + index as u64);
     for _ in 0..EVENTS_PER_SCENARIO {
-        world.step();
+        simulation.step();
     }
-    world
+    simulation
 }
 
 #[test]
-fn the_decisions_are_those_that_were_recorded() {
-    let mut found = Vec::new();
-    for (position, scenario) in scenarios().into_iter().enumerate() {
+fn decisions_match_the_recorded_hashes() {
+    let mut results = Vec::new();
+    for (index, scenario) in scenarios().into_iter().enumerate() {
         let name = scenario.name;
-        let world = play(position, scenario);
-        found.push(recorded(name, world.hash.0, world.balancer.state_entry_count()));
+        let simulation = run(index, scenario);
+        results.push(scenario_result(
+            name,
+            simulation.action_hash.0,
+            simulation.balancer.state_entry_count(),
+        ));
     }
-    assert_eq!(found, RECORDED);
+    assert_eq!(results, RECORDED_RESULTS);
 }
 
-/// A history in which some decision is never made would prove nothing about it.
+/// A decision that is never made in any scenario would not be covered by the hashes.
 #[test]
-fn every_outcome_and_every_emitted_action_occurs() {
-    let mut seen: BTreeMap<&'static str, usize> = BTreeMap::new();
-    for (position, scenario) in scenarios().into_iter().enumerate() {
-        for (what, count) in play(position, scenario).seen {
-            *seen.entry(what).or_default() += count;
+fn every_outcome_and_every_emitted_action_occurs_in_the_scenarios() {
+    let mut occurrences: BTreeMap<&'static str, usize> = BTreeMap::new();
+    for (index, scenario) in scenarios().into_iter().enumerate() {
+        for (kind, count) in run(index, scenario).occurrences {
+            *occurrences.entry(kind).or_default() += count;
         }
     }
-    for what in [
+    for kind in [
         "ok",
         "error",
         "rejected",
@@ -84,9 +95,9 @@
         "no retry",
         "fail",
         "retry or hedge",
-        "close idle",
+        "close idle connections",
         "watch",
     ] {
-        assert!(seen.get(what).is_some_and(|count| *count >= 5), "{what}: {seen:?}");
+        assert!(occurrences.get(kind).is_some_and(|count| *count >= 5), "{kind}: {occurrences:?}");
     }
 }
--- a/crates/core/tests/golden/scenario.rs
+++ b/crates/core/tests/golden/scenario.rs
@@ -1,28 +1,29 @@
-//! The settings and the loads that are played.
+//! The scenarios of the golden test: settings of the balancer, number of upstreams, load and faults.
 
 use balancer_core::*;
 use std::time::Duration;
 
-/// One balancer with its surroundings.
+/// Settings of a balancer and the conditions that it runs under.
 pub struct Scenario {
     pub name: &'static str,
     pub settings: Settings,
+    /// Number of upstreams at the start.
     pub upstreams: u64,
     /// Mean time between two requests outside of bursts.
-    pub request_gap: Duration,
-    /// Share of the upstreams that become unreachable at each change of conditions, in percent.
+    pub mean_request_interval: Duration,
+    /// Probability, in percent, that an upstream whose condition changes becomes unreachable.
     pub unreachable_percent: u64,
 }
 
-/// All scenarios. Their order is part of what is recorded, as it determines the seeds.
+/// Returns all scenarios. The recorded results depend on their order, because it determines the seeds.
 pub fn scenarios() -> Vec<Scenario> {
     vec![
         scenario("small fleet", 6, 4000, Settings { balancers: 1, index: 0, ..base_settings() }),
         scenario("large fleet", 300, 4000, large_fleet()),
-        scenario("polled list", 40, 4000, polled_list()),
+        scenario("polled endpoint list", 40, 4000, polled_endpoint_list()),
         scenario("live weights", 30, 2000, live_weights()),
-        scenario("no cancelling", 20, 4000, no_cancellation()),
-        scenario("thin traffic", 60, 30_000, Settings { balancers: 24, index: 17, ..base_settings() }),
+        scenario("no cancellation", 20, 4000, no_cancellation()),
+        scenario("sparse traffic", 60, 30_000, Settings { balancers: 24, index: 17, ..base_settings() }),
         scenario("crowded", 8, 1000, steep_slow_start()),
         outage(),
     ]
@@ -31,11 +32,11 @@
 fn scenario(
     name: &'static str,
     upstreams: u64,
-    request_gap_microseconds: u64,
+    mean_request_interval_us: u64,
     settings: Settings,
 ) -> Scenario {
-    let request_gap = Duration::from_micros(request_gap_microseconds);
-    Scenario { name, settings, upstreams, request_gap, unreachable_percent: 0 }
+    let mean_request_interval = Duration::from_micros(mean_request_interval_us);
+    Scenario { name, settings, upstreams, mean_request_interval, unreachable_percent: 0 }
 }
 
 fn large_fleet() -> Settings {
@@ -47,7 +48,7 @@
     }
 }
 
-fn polled_list() -> Settings {
+fn polled_endpoint_list() -> Settings {
     Settings {
         starts_watches: true,
         poll_interval: Duration::from_secs(3),
@@ -100,7 +101,8 @@
     }
 }
 
-/// One class of each kind of retry safety, and the special cases.
+/// Returns request classes of each retry safety, and others with a late priority weight, streamed responses
+/// or a stretched latency objective.
 fn classes() -> Vec<RequestClass> {
     vec![
         class(300, 1500, RetrySafety::Idempotent),
