--- a/crates/core/tests/extreme_settings.rs
+++ b/crates/core/tests/extreme_settings.rs
@@ -1,5 +1,5 @@
-//! A property test: settings, endpoint lists and load reports with values at the edges of their types, all at
-//! once. What the validation accepts must never make a balancer panic.
+//! A property test with extreme values in settings, endpoint lists and load reports at the same time. A
+//! balancer must never panic if its settings pass the validation.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-/// Outcomes of attempts, in the order in which a test draws them.
+/// Outcomes that an attempt can have. The order determines which outcome a random number selects.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
@@ -20,9 +20,10 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-/// Requests of each case.
-const REQUESTS: usize = 40;
+/// Number of requests in each case.
+const REQUESTS_PER_CASE: usize = 40;
 
+/// Generates a number that is finite and not negative.
 fn number() -> impl Strategy<Value = f64> {
     prop::sample::select(vec![
         0.0,
@@ -41,6 +42,7 @@
     ])
 }
 
+/// Generates durations between zero and the longest one.
 fn duration() -> impl Strategy<Value = Duration> {
     prop::sample::select(vec![
         Duration::ZERO,
@@ -70,6 +72,7 @@
     ]
 }
 
+/// Generates a request class. Its latency objective is above zero, as the validation requires.
 fn class() -> impl Strategy<Value = RequestClass> {
     (duration(), duration(), number(), number(), number(), retry_safety(), any::<bool>()).prop_map(
         |(latency_objective, deadline, stretch, weight, late_weight, retry_safety, streamed)| RequestClass {
@@ -85,7 +88,8 @@
 }
 
 prop_compose! {
-    fn times()(
+    /// Generates settings that differ from the defaults in their durations only.
+    fn duration_settings()(
         poll_interval in duration(),
         slow_start_duration in duration(),
         overload_duration in duration(),
@@ -104,8 +108,9 @@
 }
 
 prop_compose! {
+    /// Generates settings that the validation accepts.
     fn settings()(
-        times in times(),
+        durations in duration_settings(),
         balancers in prop::sample::select(vec![1, 2, 900, u32::MAX]),
         classes in prop::collection::vec(class(), 1..4),
         quotas in prop::collection::vec(number(), 0..4),
@@ -114,10 +119,11 @@
         over_quota_weight in number(),
         cross_zone in number(),
         max_attempts in prop::sample::select(vec![1, 2, 250, u8::MAX]),
-        (hedging, cancellation, starts_watches, reports) in any::<(bool, bool, bool, bool)>(),
+        (hedging, cancellation, starts_watches, has_reports) in any::<(bool, bool, bool, bool)>(),
         weight_kind in prop::sample::select(vec![WeightKind::Ignored, WeightKind::Size, WeightKind::Live]),
     ) -> Settings {
-        let reported = if reports { vec![LoadField::Utilization, LoadField::Queue] } else { Vec::new() };
+        let report_fields =
+            if has_reports { vec![LoadField::Utilization, LoadField::Queue] } else { Vec::new() };
         Settings {
             balancers,
             index: balancers - 1,
@@ -132,13 +138,14 @@
             cancellation,
             starts_watches,
             weight_kind,
-            load_report_fields: reported,
-            ..times
+            load_report_fields: report_fields,
+            ..durations
         }
     }
 }
 
 prop_compose! {
+    /// Generates an entry of the endpoint list.
     fn entry()(
         id in 1u64..6,
         weight in number(),
@@ -149,15 +156,16 @@
 }
 
 prop_compose! {
-    /// A request with the time its client waits, its latency and its outcome.
+    /// Generates a request: its class, the time for which its client waits, its latency, its outcome and the
+    /// value in its load report.
     fn request()(
         class in 0u16..4,
         time_left in duration(),
-        latency in prop::sample::select(vec![0u64, 1, 40, 700]),
+        latency_ms in prop::sample::select(vec![0u64, 1, 40, 700]),
         outcome in prop::sample::select(OUTCOMES.to_vec()),
-        report in prop::sample::select(vec![0.0f32, 1e-30, 0.5, f32::MAX, f32::NAN, f32::NEG_INFINITY]),
+        reported in prop::sample::select(vec![0.0f32, 1e-30, 0.5, f32::MAX, f32::NAN, f32::NEG_INFINITY]),
     ) -> (u16, Duration, Duration, Outcome, f32) {
-        (class, time_left, ms(latency), outcome, report)
+        (class, time_left, ms(latency_ms), outcome, reported)
     }
 }
 
@@ -172,21 +180,21 @@
     #[test]
     fn settings_that_pass_the_validation_never_make_a_balancer_panic(
         settings in settings(),
-        first_list in prop::collection::vec(entry(), 0..5),
-        change in prop::collection::vec(entry(), 0..3),
-        requests in prop::collection::vec(request(), REQUESTS),
-        start in prop::sample::select(vec![Duration::ZERO, ms(3_600_000)]),
+        cached_entries in prop::collection::vec(entry(), 0..5),
+        changed_entries in prop::collection::vec(entry(), 0..3),
+        requests in prop::collection::vec(request(), REQUESTS_PER_CASE),
+        started_at in prop::sample::select(vec![Duration::ZERO, ms(3_600_000)]),
         seed in any::<u64>(),
     ) {
-        let mut harness = BalancerHarness::starting_at(start, settings, seed, &first_list);
-        for (number, (class, time_left, latency, outcome, report)) in requests.into_iter().enumerate() {
-            let id = harness.send_request(class, number as u32, time_left);
+        let mut harness = BalancerHarness::starting_at(started_at, settings, seed, &cached_entries);
+        for (index, (class, time_left, latency, outcome, reported)) in requests.into_iter().enumerate() {
+            let id = harness.send_request(class, index as u32, time_left);
             harness.advance(latency);
             for attempt in 0..harness.attempt_count(id) {
-                harness.end_attempt_with_report(id, attempt, outcome, &[report, report]);
+                harness.end_attempt_with_report(id, attempt, outcome, &[reported, reported]);
             }
-            if number == REQUESTS / 2 {
-                harness.update_endpoints(UpdateScope::Delta, &change);
+            if index == REQUESTS_PER_CASE / 2 {
+                harness.update_endpoints(UpdateScope::Delta, &changed_entries);
                 harness.deliver(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
             }
         }
--- a/crates/core/tests/invariants/embedder.rs
+++ b/crates/core/tests/invariants/embedder.rs
@@ -1,4 +1,4 @@
-//! An embedder that plays a generated history and checks every action against the rules.
+//! An embedder that applies a generated history to a balancer and checks every action against the rules.
 
 use crate::common::{EndpointBuilder, ms};
 use crate::operation::{EndpointChange, Operation};
@@ -6,42 +6,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const ZONES: u64 = 2;
-const CELLS: u64 = 4;
-/// How long ago the process of an endpoint started that has just started.
-const JUST_STARTED: Duration = Duration::from_millis(500);
-/// Any latency of a health check.
+const ZONE_COUNT: u64 = 2;
+const CELL_COUNT: u64 = 4;
+/// Time since the process start of an endpoint that has just started.
+const AGE_WHEN_JUST_STARTED: Duration = Duration::from_millis(500);
+/// Latency of every health check; arbitrary, because the balancer does not use it.
 const HEALTH_CHECK_LATENCY: Duration = Duration::from_millis(1);
 
-/// An attempt that the balancer had sent.
+/// Attempt that the balancer asked the embedder to send.
 #[derive(Debug)]
 struct Attempt {
     upstream: UpstreamId,
     sent_at: Duration,
     times_out_at: Duration,
     is_in_flight: bool,
-    is_possibly_executed: bool,
+    /// Whether the attempt has ended without proof that the request was not executed.
+    may_have_been_executed: bool,
 }
 
 impl Attempt {
-    /// Whether the upstream may have executed the request, or may still do so.
+    /// Returns whether the upstream may have executed the request or may still execute it.
     fn may_execute(&self) -> bool {
-        self.is_in_flight || self.is_possibly_executed
+        self.is_in_flight || self.may_have_been_executed
     }
 }
 
-/// What happened to a request so far.
+/// State of a request from the embedder's view.
 #[derive(Debug)]
 pub struct Request {
-    /// Position of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// How long its client waits.
+    /// Time at which the client stops waiting.
     pub deadline: Duration,
-    /// When it got its final response.
+    /// Time of the final response; `None` if there is none yet.
     pub finished_at: Option<Duration>,
-    /// Its client has disconnected.
+    /// Whether the client has disconnected.
     pub is_disconnected: bool,
     attempts: Vec<Attempt>,
+    /// Whether an attempt's response is being streamed to the client.
     is_streaming: bool,
 }
 
@@ -51,9 +53,9 @@
     }
 }
 
-/// An attempt in flight: the request, and the position of the attempt.
+/// Identifies an attempt in flight by its request and its index among the request's attempts.
 #[derive(Clone, Copy)]
-pub struct InFlight {
+pub struct AttemptInFlight {
     id: RequestId,
     attempt: usize,
 }
@@ -63,25 +65,28 @@
     timer: TimerId,
 }
 
-/// Two balancers with the same settings and seed that get the same events, and what their embedder knows.
-pub struct World {
-    /// The settings of both balancers.
+/// Embedder of two balancers that have the same settings and seed and get the same events. It carries out the
+/// actions of one balancer and checks them, and checks that the replica returns the same ones.
+pub struct CheckingEmbedder {
+    /// Settings of both balancers.
     pub settings: Settings,
-    /// All requests so far.
+    /// Requests that were delivered so far.
     pub requests: BTreeMap<RequestId, Request>,
     balancer: Balancer,
     replica: Balancer,
     now: Duration,
     pending_timers: Vec<PendingTimer>,
     health_checks: Vec<UpstreamId>,
+    /// Availability of each upstream in the current endpoint list.
     availability: BTreeMap<UpstreamId, Availability>,
+    /// Upstreams that have ever been in the endpoint list.
     known_upstreams: BTreeSet<UpstreamId>,
 }
 
-impl World {
-    /// Starts both balancers.
+impl CheckingEmbedder {
+    /// Creates both balancers.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let balancer = || Balancer::new(settings.clone(), seed).expect("valid settings");
+        let balancer = || Balancer::new(settings.clone(), seed).expect("the settings are valid");
         Self {
             balancer: balancer(),
             replica: balancer(),
@@ -95,12 +100,18 @@
         }
     }
 
-    /// Plays one operation; a request that it sends gets the id `number`.
-    pub fn play(&mut self, operation: &Operation, number: u32) {
+    /// Applies one operation. A request that it sends gets the id `request_number`.
+    pub fn apply(&mut self, operation: &Operation, request_number: u32) {
         match operation {
             Operation::SendRequest { class, tenant, time_left_ms, expected_work_ms } => {
                 let class = usize::from(*class) % self.settings.classes.len();
-                self.send_request(number, class, TenantId(*tenant), ms(*time_left_ms), *expected_work_ms);
+                self.send_request(
+                    request_number,
+                    class,
+                    TenantId(*tenant),
+                    ms(*time_left_ms),
+                    *expected_work_ms,
+                );
             }
             Operation::EndAttempt { pick, outcome, reported_in_flight } => {
                 if let Some(in_flight) = pick_one(&self.attempts_in_flight(), *pick) {
@@ -117,7 +128,7 @@
         }
     }
 
-    /// Advances the clock a millisecond at a time, and times out attempts and fires timers when they are due.
+    /// Advances the clock in steps of a millisecond. Times out attempts and fires timers when they are due.
     pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds {
             self.now += ms(1);
@@ -126,26 +137,26 @@
         }
     }
 
-    /// The attempts in flight, in the order of their requests.
-    pub fn attempts_in_flight(&self) -> Vec<InFlight> {
+    /// Returns the attempts in flight, ordered by request and then by attempt.
+    pub fn attempts_in_flight(&self) -> Vec<AttemptInFlight> {
         let mut in_flight = Vec::new();
         for (id, request) in &self.requests {
-            for (position, attempt) in request.attempts.iter().enumerate() {
+            for (index, attempt) in request.attempts.iter().enumerate() {
                 if attempt.is_in_flight {
-                    in_flight.push(InFlight { id: *id, attempt: position });
+                    in_flight.push(AttemptInFlight { id: *id, attempt: index });
                 }
             }
         }
         in_flight
     }
 
-    /// Ends an attempt with this outcome; its response reports this many requests in flight.
-    pub fn end_attempt(&mut self, in_flight: InFlight, outcome: Outcome, reported_in_flight: f32) {
+    /// Ends an attempt with this outcome. Its load report contains this number of requests in flight.
+    pub fn end_attempt(&mut self, in_flight: AttemptInFlight, outcome: Outcome, reported_in_flight: f32) {
         let now = self.now;
-        let request = self.requests.get_mut(&in_flight.id).expect("a request in flight");
+        let request = self.requests.get_mut(&in_flight.id).expect("the request was delivered");
         let attempt = &mut request.attempts[in_flight.attempt];
         attempt.is_in_flight = false;
-        attempt.is_possibly_executed = !outcome.proves_not_executed();
+        attempt.may_have_been_executed = !outcome.proves_not_executed();
         let upstream = attempt.upstream;
         let latency = now - attempt.sent_at;
         let is_final = outcome == Outcome::Ok || request.is_streaming;
@@ -170,7 +181,7 @@
             let request = &self.requests[&in_flight.id];
             let attempt = &request.attempts[in_flight.attempt];
             let is_due = attempt.is_in_flight && attempt.times_out_at <= self.now;
-            // A response that has started to stream has no deadline.
+            // A request whose response has started to stream has no deadline.
             if is_due && !request.is_streaming {
                 self.end_attempt(in_flight, Outcome::TimedOut, 0.0);
             }
@@ -188,13 +199,13 @@
 
     fn send_request(
         &mut self,
-        number: u32,
+        request_number: u32,
         class: usize,
         tenant: TenantId,
         time_left: Duration,
         expected_work_ms: Option<f64>,
     ) {
-        let id = RequestId(number);
+        let id = RequestId(request_number);
         let request = Request {
             class,
             deadline: self.now + time_left,
@@ -210,7 +221,7 @@
             tenant,
             time_left,
             expected_work_ms,
-            is_client_retry: number % 3 == 0,
+            is_client_retry: request_number % 3 == 0,
         });
     }
 
@@ -235,8 +246,8 @@
             let is_streamed = self.settings.classes[request.class].streamed;
             is_streamed && !request.is_finished() && !request.is_streaming
         });
-        let Some(InFlight { id, attempt }) = pick_one(&candidates, pick) else { return };
-        let request = self.requests.get_mut(&id).expect("a request in flight");
+        let Some(AttemptInFlight { id, attempt }) = pick_one(&candidates, pick) else { return };
+        let request = self.requests.get_mut(&id).expect("the request was delivered");
         request.is_streaming = true;
         let latency = self.now - request.attempts[attempt].sent_at;
         self.deliver(Event::StreamStarted { id, attempt: AttemptIndex(attempt as u8), latency });
@@ -246,7 +257,7 @@
         let unfinished = self.requests.iter().filter(|(_, request)| !request.is_finished());
         let unfinished: Vec<RequestId> = unfinished.map(|(id, _)| *id).collect();
         let Some(id) = pick_one(&unfinished, pick) else { return };
-        let request = self.requests.get_mut(&id).expect("an unfinished request");
+        let request = self.requests.get_mut(&id).expect("the request was delivered");
         request.is_disconnected = true;
         request.is_streaming = false;
         self.deliver(Event::ClientDisconnected { id });
@@ -257,7 +268,7 @@
             self.deliver(Event::EndpointUpdate { scope, entries: &[] });
             return;
         }
-        // The last change of an endpoint counts.
+        // If an endpoint occurs more than once, its last change applies.
         let mut entries = BTreeMap::new();
         for change in changes {
             entries.insert(change.id, self.endpoint(change));
@@ -273,9 +284,9 @@
         self.deliver(Event::EndpointUpdate { scope, entries: &entries });
     }
 
-    /// The entry of an endpoint, whose zone and cell follow from its id.
+    /// Returns the entry of an endpoint. Its zone and cell are derived from its id.
     fn endpoint(&self, change: &EndpointChange) -> EndpointEntry {
-        let started_at = change.has_just_started.then_some(self.now.saturating_sub(JUST_STARTED));
+        let started_at = change.has_just_started.then_some(self.now.saturating_sub(AGE_WHEN_JUST_STARTED));
         let upstream = UpstreamId(change.id);
         EndpointBuilder::new(change.id)
             .located_in(zone_of(upstream), cell_of(upstream))
@@ -289,31 +300,40 @@
         self.balancer.handle(self.now, event.clone(), &mut actions);
         let mut replica_actions = Vec::new();
         self.replica.handle(self.now, event, &mut replica_actions);
-        assert_eq!(actions, replica_actions, "the same events cause the same actions");
+        assert_eq!(actions, replica_actions, "the same events caused different actions");
         for action in actions {
             self.check(action);
         }
     }
 
-    /// Checks that the rules allow an action, and carries it out.
+    /// Checks that the rules allow an action and carries it out.
     fn check(&mut self, action: Action) {
         match action {
             Action::SetTimer { after, timer } => {
                 self.pending_timers.push(PendingTimer { due_at: self.now + after, timer });
             }
             Action::CheckHealth { upstream } => {
-                assert!(self.settings.health_checks, "health checks are not allowed");
-                assert!(self.known_upstreams.contains(&upstream), "{upstream:?} was never listed");
+                assert!(
+                    self.settings.health_checks,
+                    "requested a health check although the settings forbid it"
+                );
+                assert!(
+                    self.known_upstreams.contains(&upstream),
+                    "requested a health check of {upstream:?}, which was never listed"
+                );
                 self.health_checks.push(upstream);
             }
             Action::WatchEndpoints | Action::FetchEndpoints => {
-                assert!(self.settings.starts_watches, "polls are not needed");
+                assert!(
+                    self.settings.starts_watches,
+                    "called discovery although the embedder watches the endpoint list"
+                );
             }
             Action::Log { .. } | Action::CloseIdleConnections { .. } => {}
             Action::CancelAttempt { id, attempt } => {
-                assert!(self.settings.cancellation, "cancelling is not allowed");
-                let attempts = self.requests[&id].attempts.len();
-                assert!(usize::from(attempt.0) < attempts, "cancels an attempt that was not sent");
+                assert!(self.settings.cancellation, "cancelled an attempt although the settings forbid it");
+                let attempt_count = self.requests[&id].attempts.len();
+                assert!(usize::from(attempt.0) < attempt_count, "cancelled an attempt that was never sent");
             }
             Action::SendAttempt { id, upstream, timeout } => self.check_attempt(id, upstream, timeout),
             Action::Reject { id, .. } => self.check_rejection(id),
@@ -325,15 +345,22 @@
 
     fn check_attempt(&mut self, id: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
         let now = self.now;
-        let request = self.requests.get_mut(&id).expect("a request that was delivered");
-        assert!(!request.is_finished(), "an attempt after the final response or the disconnect");
-        assert!(!request.is_streaming, "an attempt beside a stream");
+        let request = self.requests.get_mut(&id).expect("the request was delivered");
+        assert!(!request.is_finished(), "sent an attempt after the request was finished");
+        assert!(!request.is_streaming, "sent an attempt after a response started to stream");
         let max_attempts = usize::from(self.settings.max_attempts);
-        assert!(request.attempts.len() < max_attempts, "too many attempts");
+        assert!(request.attempts.len() < max_attempts, "sent more attempts than the settings allow");
         let availability = self.availability.get(&upstream).copied();
-        assert_eq!(availability, Some(Availability::Ready), "{upstream:?} takes no requests");
+        assert_eq!(
+            availability,
+            Some(Availability::Ready),
+            "sent an attempt to {upstream:?}, which is not ready"
+        );
         if !self.settings.hedging {
-            assert!(request.attempts.iter().all(|earlier| !earlier.is_in_flight), "hedging is not allowed");
+            assert!(
+                request.attempts.iter().all(|earlier| !earlier.is_in_flight),
+                "sent a hedged request although the settings forbid it"
+            );
         }
         let retry_safety = self.settings.classes[request.class].retry_safety;
         for earlier in request.attempts.iter().filter(|earlier| earlier.may_execute()) {
@@ -345,11 +372,11 @@
             sent_at: now,
             times_out_at,
             is_in_flight: true,
-            is_possibly_executed: false,
+            may_have_been_executed: false,
         });
     }
 
-    /// A rejection promises that the client may send the request again.
+    /// Checks that the client of a rejected request can safely send it again.
     fn check_rejection(&mut self, id: RequestId) {
         let request = self.finish(id);
         let may_execute = request.attempts.iter().any(Attempt::may_execute);
@@ -359,45 +386,51 @@
             RetrySafety::AtMostOnce => !may_execute,
             RetrySafety::Deduplicated { scope, .. } => scope == DeduplicationScope::All || !may_execute,
         };
-        assert!(is_safe, "rejects a request that may have been executed");
+        assert!(is_safe, "rejected a request that is not safe to send again");
     }
 
-    /// Notes the final response of a request.
+    /// Records the final response to a request, and checks that it is the only one.
     fn finish(&mut self, id: RequestId) -> &Request {
-        let request = self.requests.get_mut(&id).expect("a request that was delivered");
-        assert!(!request.is_disconnected && !request.is_streaming, "a response to a disconnect or a stream");
+        let request = self.requests.get_mut(&id).expect("the request was delivered");
+        assert!(
+            !request.is_disconnected && !request.is_streaming,
+            "sent a final response to a disconnected client or during a stream"
+        );
         assert_eq!(request.finished_at, None, "two final responses");
         request.finished_at = Some(self.now);
         request
     }
 }
 
-/// Checks that an attempt at `upstream` may follow an earlier one that may have been executed.
+/// Checks that an attempt may be sent to `upstream` although an earlier attempt may have been executed.
 fn check_retry_safety(retry_safety: RetrySafety, earlier: &Attempt, upstream: UpstreamId, now: Duration) {
     match retry_safety {
         RetrySafety::Idempotent => {}
-        RetrySafety::AtMostOnce => panic!("the request may be executed twice"),
+        RetrySafety::AtMostOnce => panic!("retried a request that must not be executed twice"),
         RetrySafety::Deduplicated { scope, ttl } => {
-            assert!(now <= earlier.sent_at + ttl, "the idempotency key has expired");
+            assert!(now <= earlier.sent_at + ttl, "sent an attempt after the idempotency key had expired");
             let shares_keys = match scope {
                 DeduplicationScope::All => true,
                 DeduplicationScope::Zone => zone_of(earlier.upstream) == zone_of(upstream),
                 DeduplicationScope::Cell => cell_of(earlier.upstream) == cell_of(upstream),
             };
-            assert!(shares_keys, "{upstream:?} does not share the record of idempotency keys");
+            assert!(
+                shares_keys,
+                "sent an attempt to {upstream:?}, which does not share the record of the idempotency key"
+            );
         }
     }
 }
 
 fn zone_of(upstream: UpstreamId) -> ZoneId {
-    ZoneId((upstream.0 % ZONES) as u8)
+    ZoneId((upstream.0 % ZONE_COUNT) as u8)
 }
 
 fn cell_of(upstream: UpstreamId) -> CellId {
-    CellId((upstream.0 % CELLS) as u16)
+    CellId((upstream.0 % CELL_COUNT) as u16)
 }
 
-/// The element that `pick` chooses, if there is any.
+/// Returns the candidate that `pick` selects; `None` if there are no candidates.
 fn pick_one<T: Copy>(candidates: &[T], pick: usize) -> Option<T> {
     candidates.get(pick % candidates.len().max(1)).copied()
 }
--- a/crates/core/tests/invariants/operation.rs
+++ b/crates/core/tests/invariants/operation.rs
@@ -1,37 +1,38 @@
-//! The operations of a generated history, and the strategy that generates them.
+//! Operations of a generated history, and the strategy that generates them.
 
 use balancer_core::*;
 use proptest::prelude::*;
 
-/// One step of a history. A `pick` chooses among what is there to choose from when the step is played.
+/// One step of a history. A `pick` selects one of the candidates that exist when the operation is applied.
 #[derive(Clone, Debug)]
 pub enum Operation {
-    /// A client sends a request. Classes that the settings don't have wrap around.
+    /// A client sends a request. Its class is taken modulo the number of classes in the settings.
     SendRequest { class: u16, tenant: u32, time_left_ms: u64, expected_work_ms: Option<f64> },
     /// An attempt in flight ends.
     EndAttempt { pick: usize, outcome: Outcome, reported_in_flight: f32 },
-    /// A health check that the balancer asked for ends.
+    /// A health check that the balancer requested ends.
     EndHealthCheck { pick: usize, is_healthy: bool, reported_in_flight: f32 },
     /// The response to an attempt in flight starts to stream.
     StartStream { pick: usize },
     /// The client of an unfinished request disconnects.
     DisconnectClient { pick: usize },
-    /// An update of the endpoint list comes.
+    /// An update of the endpoint list arrives.
     UpdateEndpoints { scope: UpdateScope, changes: Vec<EndpointChange> },
     /// Time passes.
     Advance { milliseconds: u64 },
 }
 
-/// An entry of an endpoint update.
+/// Entry in an update of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
     pub id: u64,
     pub availability: Availability,
+    /// Whether the endpoint's process started a short time ago. Otherwise, the start is unknown.
     pub has_just_started: bool,
 }
 
-/// Generates any operation.
-pub fn operation() -> impl Strategy<Value = Operation> {
+/// Returns a strategy that generates any operation.
+pub fn any_operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         6 => send_request(),
         6 => end_attempt(),
@@ -63,7 +64,7 @@
     })
 }
 
-/// Success is twice as likely as each other outcome.
+/// Returns the outcome for a random number below 7. Success is twice as likely as each other outcome.
 fn outcome_of(number: u8) -> Outcome {
     match number {
         0 | 1 => Outcome::Ok,
@@ -105,7 +106,7 @@
     }
 }
 
-/// Ready is twice as likely as each other availability.
+/// Returns the availability for a random number below 4. Ready is twice as likely as each other one.
 fn availability_of(number: u8) -> Availability {
     match number {
         0 => Availability::Draining,
