--- a/crates/core/tests/bounded_state.rs
+++ b/crates/core/tests/bounded_state.rs
@@ -40,7 +40,7 @@
 fn state_of_finished_requests_is_dropped() {
     let mut harness = harness();
 
-    harness.play_requests(2000, ms(20), |_| Some(Outcome::Ok));
+    harness.simulate_requests(2000, ms(20), |_| Some(Outcome::Ok));
     harness.advance(ms(2000));
 
     let entries = harness.balancer.state_entry_count();
--- a/crates/core/tests/cancellation.rs
+++ b/crates/core/tests/cancellation.rs
@@ -26,7 +26,7 @@
         let settings = settings_without_hedging().late_priority_weight(0.5).build();
         let mut harness = BalancerHarness::new(settings, &endpoints(2));
         // Long enough to learn that responses usually come at once.
-        harness.play_requests(800, ms(20), |_| Some(Outcome::Ok));
+        harness.simulate_requests(800, ms(20), |_| Some(Outcome::Ok));
 
         let slow = harness.send_request(0, 0, ms(1000));
         let Some(&Action::SendAttempt { upstream, timeout: None, .. }) = harness.last_actions.last() else {
@@ -65,7 +65,7 @@
 fn an_upstream_with_few_requests_is_not_taken_for_unresponsive() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
     // A response of each upstream every 0.8 s.
-    harness.play_requests(200, ms(100), |_| Some(Outcome::Ok));
+    harness.simulate_requests(200, ms(100), |_| Some(Outcome::Ok));
 
     let slow = harness.send_request(0, 0, ms(1000));
     let upstream = harness.upstream_of(slow, 0).expect("the request is forwarded");
@@ -257,7 +257,7 @@
     harness.deliver(Event::ClientDisconnected { id });
     harness.end_attempt(id, 0, Outcome::Cancelled);
     // A success in between, so that it is not ejected.
-    harness.play_requests(4, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(4, ms(10), |_| Some(Outcome::Ok));
 }
 
 /// What an upstream was still executing when it left the rotation is done by the time it comes back.
@@ -269,21 +269,21 @@
     let settings = settings_without_hedging().classes(vec![class]).quotas(&[1000.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(2));
     // Long enough to learn that responses usually come at once.
-    harness.play_requests(2500, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(2500, ms(10), |_| Some(Outcome::Ok));
     for _ in 0..3 {
         abandon_an_attempt_at(&mut harness, RETURNING);
     }
     let sent_before = harness.attempts_sent_to(RETURNING);
-    harness.play_requests(20, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(20, ms(10), |_| Some(Outcome::Ok));
     assert_eq!(harness.attempts_sent_to(RETURNING), sent_before, "it counts as loaded");
 
     let with_availability =
         |availability| vec![EndpointBuilder::new(RETURNING.0).availability(availability).build()];
     harness.update_endpoints(UpdateScope::Delta, &with_availability(Availability::Draining));
-    harness.play_requests(300, ms(100), |_| Some(Outcome::Ok));
+    harness.simulate_requests(300, ms(100), |_| Some(Outcome::Ok));
     harness.update_endpoints(UpdateScope::Delta, &with_availability(Availability::Ready));
     let sent_before = harness.attempts_sent_to(RETURNING);
-    harness.play_requests(100, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(100, ms(10), |_| Some(Outcome::Ok));
 
     let sent = harness.attempts_sent_to(RETURNING) - sent_before;
     assert!(sent > 30, "{sent} of 100 after three times the latency objective");
--- a/crates/core/tests/capacity/main.rs
+++ b/crates/core/tests/capacity/main.rs
@@ -14,7 +14,7 @@
 fn requests_within_quota_are_rejected_while_no_attempt_is_served() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).quotas(&[100.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
-    harness.play_requests(200, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(200, ms(10), |_| Some(Outcome::Ok));
 
     let mut forwarded = 0;
     let mut pending = PendingRequests::default();
--- a/crates/core/tests/common/harness.rs
+++ b/crates/core/tests/common/harness.rs
@@ -44,8 +44,8 @@
     pub last_actions: Vec<Action>,
     /// Attempts of each forwarded request, in the order in which they were sent.
     pub attempts: BTreeMap<RequestId, Vec<SentAttempt>>,
-    /// Times at which the balancer watched or fetched the endpoint list.
-    pub endpoint_polls: Vec<Duration>,
+    /// Times at which the balancer asked for a watch or a snapshot of the endpoint list.
+    pub discovery_calls: Vec<Duration>,
     responses: BTreeMap<RequestId, FinalResponse>,
     health_checks: Vec<UpstreamId>,
     pending_timers: Vec<PendingTimer>,
@@ -65,7 +65,7 @@
             now,
             last_actions: Vec::new(),
             attempts: BTreeMap::new(),
-            endpoint_polls: Vec::new(),
+            discovery_calls: Vec::new(),
             responses: BTreeMap::new(),
             health_checks: Vec::new(),
             pending_timers: Vec::new(),
@@ -102,7 +102,7 @@
                 assert_eq!(self.responses.insert(*id, FinalResponse::Failed), None, "two final responses");
             }
             Action::CheckHealth { upstream } => self.health_checks.push(*upstream),
-            Action::WatchEndpoints | Action::FetchEndpoints => self.endpoint_polls.push(self.now),
+            Action::WatchEndpoints | Action::FetchEndpoints => self.discovery_calls.push(self.now),
             Action::CancelAttempt { .. } | Action::CloseIdleConnections { .. } | Action::Log { .. } => {}
         }
     }
@@ -228,7 +228,7 @@
 
     /// Sends `count` requests of the first class, one per `interval`. Each attempt ends at once with the
     /// outcome that `outcome_of` returns for its upstream, or stays in flight if that is `None`.
-    pub fn play_requests(
+    pub fn simulate_requests(
         &mut self,
         count: usize,
         interval: Duration,
--- a/crates/core/tests/endpoint_updates.rs
+++ b/crates/core/tests/endpoint_updates.rs
@@ -14,14 +14,14 @@
     let removed = UpstreamId(2);
     let remaining = UpstreamId(3);
     let mut harness = BalancerHarness::new(settings().build(), &endpoints(3));
-    harness.play_requests(20, ms(5), |_| Some(Outcome::Ok));
+    harness.simulate_requests(20, ms(5), |_| Some(Outcome::Ok));
     let attempts_before = [harness.attempts_sent_to(draining.id), harness.attempts_sent_to(removed)];
 
     harness.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&draining));
     // A snapshot without upstream 2, and with upstream 1 as ready once more.
     harness.update_endpoints(UpdateScope::Snapshot, &[endpoint(1), endpoint(remaining.0)]);
     harness.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&draining));
-    harness.play_requests(60, ms(30), |_| Some(Outcome::Ok));
+    harness.simulate_requests(60, ms(30), |_| Some(Outcome::Ok));
 
     let attempts = [harness.attempts_sent_to(draining.id), harness.attempts_sent_to(removed)];
     assert_eq!(attempts_before, attempts);
@@ -37,7 +37,7 @@
 
     harness.update_endpoints(UpdateScope::Snapshot, &endpoints(1));
     harness.advance(ms(3000));
-    harness.play_requests(100, ms(100), |_| Some(Outcome::Ok));
+    harness.simulate_requests(100, ms(100), |_| Some(Outcome::Ok));
 
     assert!(harness.attempts_sent_to(UpstreamId(1)) > 0);
 }
@@ -49,14 +49,14 @@
     let mut harness = BalancerHarness::new(settings().starts_watches(true).build(), &endpoints(2));
 
     for _ in 0..6000 {
-        let polls = harness.endpoint_polls.len();
+        let polls = harness.discovery_calls.len();
         harness.advance(ms(10));
-        if harness.endpoint_polls.len() > polls {
+        if harness.discovery_calls.len() > polls {
             harness.update_endpoints(UpdateScope::Failed, &[]);
         }
     }
 
-    let polls = harness.endpoint_polls.len();
+    let polls = harness.discovery_calls.len();
     assert!((5..=30).contains(&polls), "{polls} polls in a minute");
     let id = harness.send_request(0, 0, ms(1000));
     assert!(harness.is_forwarded(id));
@@ -74,7 +74,7 @@
 
         let mut last_poll_at = harness.now;
         for poll in 0..40 {
-            while harness.endpoint_polls.len() == poll {
+            while harness.discovery_calls.len() == poll {
                 harness.advance(ms(10));
                 let elapsed = harness.now - last_poll_at;
                 assert!(elapsed < ms(5_700), "poll {poll} with interval {poll_interval:?}: {elapsed:?}");
--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -72,7 +72,7 @@
     harness.update_endpoints(UpdateScope::Snapshot, &malformed);
     harness.advance(ms(10_000));
 
-    harness.play_requests(200, ms(30), |_| Some(Outcome::Ok));
+    harness.simulate_requests(200, ms(30), |_| Some(Outcome::Ok));
 
     let served = harness.response_count(FinalResponse::Served);
     assert!(served > 180, "{served} of 200 served");
@@ -134,7 +134,7 @@
     }
     harness.advance(ms(20_000));
 
-    harness.play_requests(100, ms(30), |_| Some(Outcome::Ok));
+    harness.simulate_requests(100, ms(30), |_| Some(Outcome::Ok));
 
     assert!(harness.attempts_sent_to(EXTREME) > 20, "{} of 100", harness.attempts_sent_to(EXTREME));
 }
--- a/crates/core/tests/outlier_detection.rs
+++ b/crates/core/tests/outlier_detection.rs
@@ -19,13 +19,13 @@
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
     let faulty = UpstreamId(2);
 
-    harness.play_requests(100, ms(10), |upstream| {
+    harness.simulate_requests(100, ms(10), |upstream| {
         Some(if upstream == faulty { Outcome::Reset } else { Outcome::Ok })
     });
     let attempts_while_faulty = harness.attempts_sent_to(faulty);
     assert!(attempts_while_faulty <= 4, "{attempts_while_faulty} attempts at the faulty upstream");
 
-    harness.play_requests(3000, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(3000, ms(10), |_| Some(Outcome::Ok));
     let attempts = harness.attempts_sent_to(faulty);
     assert!(attempts > attempts_while_faulty + 50, "it serves again after it has recovered");
 }
@@ -35,7 +35,7 @@
     let settings = SettingsBuilder::new(RetrySafety::AtMostOnce).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
     let attempts = Cell::new(0);
-    harness.play_requests(2000, ms(5), |_| {
+    harness.simulate_requests(2000, ms(5), |_| {
         attempts.set(attempts.get() + 1);
         Some(if attempts.get() % 10 < 3 { outcome } else { Outcome::Ok })
     });
@@ -61,7 +61,7 @@
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
     let unresponsive = UpstreamId(3);
 
-    harness.play_requests(400, ms(10), |upstream| (upstream != unresponsive).then_some(Outcome::Ok));
+    harness.simulate_requests(400, ms(10), |upstream| (upstream != unresponsive).then_some(Outcome::Ok));
 
     let attempts = harness.attempts_sent_to(unresponsive);
     assert!(attempts * 8 < 400, "{attempts} of 400 went to it");
@@ -72,11 +72,11 @@
 fn requests_are_still_forwarded_when_all_upstreams_are_ejected() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
-    harness.play_requests(40, ms(10), |_| Some(Outcome::Reset));
+    harness.simulate_requests(40, ms(10), |_| Some(Outcome::Reset));
     harness.advance(ms(1500));
     let forwarded_before = harness.forwarded_requests();
 
-    harness.play_requests(20, ms(50), |_| Some(Outcome::Ok));
+    harness.simulate_requests(20, ms(50), |_| Some(Outcome::Ok));
 
     assert!(harness.forwarded_requests() > forwarded_before, "some request was forwarded");
 }
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -34,7 +34,7 @@
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(20));
 
-    harness.play_requests(500, ms(10), |_| Some(Outcome::Error));
+    harness.simulate_requests(500, ms(10), |_| Some(Outcome::Error));
 
     let requests = harness.forwarded_requests();
     let attempts = harness.total_attempts();
@@ -48,10 +48,10 @@
 fn the_saved_retry_budget_of_one_of_many_balancers_is_a_share_of_its_requests() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).balancers(300).quotas(&[4800.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(12));
-    harness.play_requests(600, ms(62), |_| Some(Outcome::Ok));
+    harness.simulate_requests(600, ms(62), |_| Some(Outcome::Ok));
     harness.attempts.clear();
 
-    harness.play_requests(16, ms(62), |_| Some(Outcome::Error));
+    harness.simulate_requests(16, ms(62), |_| Some(Outcome::Error));
 
     let retries: usize = harness.attempts.values().map(|attempts| attempts.len() - 1).sum();
     assert!(retries <= 4, "{retries} retries for 16 requests in a second");
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -108,7 +108,7 @@
     let forwarded_before = harness.forwarded_requests();
 
     // A third of the quota: the upstreams have half of their capacity by now and can serve that.
-    harness.play_requests(40, ms(150), |_| Some(Outcome::Ok));
+    harness.simulate_requests(40, ms(150), |_| Some(Outcome::Ok));
 
     let forwarded = harness.forwarded_requests() - forwarded_before;
     assert!(forwarded >= 36, "{forwarded} of 40 forwarded once the upstreams respond");
--- a/crates/core/tests/slow_start/wall_clock.rs
+++ b/crates/core/tests/slow_start/wall_clock.rs
@@ -189,9 +189,9 @@
 fn assert_restart_during_an_ejection_is_recognized(restarted: impl Fn(Duration) -> EndpointEntry) {
     let mut harness = following_balancer();
     let fails = |upstream| Some(if upstream == RESTARTED { Outcome::ConnectFailed } else { Outcome::Ok });
-    harness.play_requests(100, REQUEST_INTERVAL, fails);
+    harness.simulate_requests(100, REQUEST_INTERVAL, fails);
     let sent_while_ejected = harness.attempts_sent_to(RESTARTED);
-    harness.play_requests(20, REQUEST_INTERVAL, fails);
+    harness.simulate_requests(20, REQUEST_INTERVAL, fails);
     assert_eq!(harness.attempts_sent_to(RESTARTED), sent_while_ejected, "it is ejected");
 
     let entry = restarted(harness.now);
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -25,7 +25,7 @@
 /// The upstreams that the next requests are sent to.
 fn used_upstreams(harness: &mut BalancerHarness, requests: usize) -> BTreeSet<UpstreamId> {
     harness.attempts.clear();
-    harness.play_requests(requests, ms(500), |_| Some(Outcome::Ok));
+    harness.simulate_requests(requests, ms(500), |_| Some(Outcome::Ok));
     harness.attempts.values().flatten().map(|attempt| attempt.upstream).collect()
 }
 
