--- a/crates/core/tests/extreme_settings.rs
+++ b/crates/core/tests/extreme_settings.rs
@@ -23,7 +23,7 @@
 /// Number of requests in each case.
 const REQUESTS_PER_CASE: usize = 40;
 
-/// Generates a number that is finite and not negative.
+/// Generates numbers that are finite and not negative.
 fn number() -> impl Strategy<Value = f64> {
     prop::sample::select(vec![
         0.0,
@@ -42,7 +42,7 @@
     ])
 }
 
-/// Generates durations between zero and the longest one.
+/// Generates durations from zero to the maximum.
 fn duration() -> impl Strategy<Value = Duration> {
     prop::sample::select(vec![
         Duration::ZERO,
@@ -72,7 +72,7 @@
     ]
 }
 
-/// Generates a request class. Its latency objective is above zero, as the validation requires.
+/// Generates request classes. Their latency objective is above zero, as the validation requires.
 fn class() -> impl Strategy<Value = RequestClass> {
     (duration(), duration(), number(), number(), number(), retry_safety(), any::<bool>()).prop_map(
         |(latency_objective, deadline, stretch, weight, late_weight, retry_safety, streamed)| RequestClass {
@@ -145,7 +145,7 @@
 }
 
 prop_compose! {
-    /// Generates an entry of the endpoint list.
+    /// Generates entries of the endpoint list.
     fn entry()(
         id in 1u64..6,
         weight in number(),
@@ -156,8 +156,8 @@
 }
 
 prop_compose! {
-    /// Generates a request: its class, the time for which its client waits, its latency, its outcome and the
-    /// value in its load report.
+    /// Generates requests: the class, the time for which the client waits, and the latency, the outcome and
+    /// the reported load of each attempt.
     fn request()(
         class in 0u16..4,
         time_left in duration(),
--- a/crates/core/tests/golden/simulation.rs
+++ b/crates/core/tests/golden/simulation.rs
@@ -11,7 +11,8 @@
 
 /// Mean time between two changes of the endpoint list or of the upstreams' conditions.
 const MEAN_CHANGE_INTERVAL: Duration = Duration::from_millis(120);
-/// Time after which an attempt without a response ends at the latest.
+/// Time after which an attempt without a response ends at the latest. Also the deadline of requests of an
+/// unknown class.
 const MAX_ATTEMPT_DURATION: Duration = Duration::from_secs(3);
 
 /// Way in which an upstream handles the requests that it gets.
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Advances the time to the next scheduled event and carries it out.
+    /// Advances the clock to the next scheduled event and processes it.
     pub fn step(&mut self) {
         let Reverse((due_at, sequence_number)) =
             self.due_times.pop().expect("the next arrival is always scheduled");
@@ -308,7 +309,7 @@
         self.schedule(interval, ScheduledEvent::RequestArrives);
     }
 
-    /// Returns a random load report, which may be empty or contain a value that is not a number.
+    /// Returns a random load report, which may be empty or contain a NaN.
     fn random_load_report(&mut self) -> Vec<f32> {
         if self.scenario.settings.load_report_fields.is_empty() || self.random.bool_with_percent(20) {
             return Vec::new();
@@ -354,8 +355,8 @@
         });
     }
 
-    /// Delivers an update of the endpoint list, usually with a new, removed, draining or restarted upstream,
-    /// or changes the condition of some upstreams. Schedules the next change.
+    /// Changes the condition of some upstreams, or delivers an update of the endpoint list: a failed one, a
+    /// snapshot, or a new, removed, draining or restarted upstream. Schedules the next change.
     fn change_upstreams(&mut self) {
         match self.random.below(12) {
             0 => self.deliver(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] }),
--- a/crates/core/tests/invariants/embedder.rs
+++ b/crates/core/tests/invariants/embedder.rs
@@ -65,8 +65,8 @@
     timer: TimerId,
 }
 
-/// Embedder of two balancers that have the same settings and seed and get the same events. It carries out the
-/// actions of one balancer and checks them, and checks that the replica returns the same ones.
+/// Embedder of two balancers that have the same settings and seed and get the same events. It checks that
+/// both return the same actions and that the rules allow them.
 pub struct CheckingEmbedder {
     /// Settings of both balancers.
     pub settings: Settings,
@@ -306,7 +306,8 @@
         }
     }
 
-    /// Checks that the rules allow an action and carries it out.
+    /// Checks that the rules allow an action and records it. A cancelled attempt stays in flight until a
+    /// later operation or its timeout ends it.
     fn check(&mut self, action: Action) {
         match action {
             Action::SetTimer { after, timer } => {
@@ -389,7 +390,7 @@
         assert!(is_safe, "rejected a request that is not safe to send again");
     }
 
-    /// Records the final response to a request, and checks that it is the only one.
+    /// Records the final response to a request and checks that it is the only one.
     fn finish(&mut self, id: RequestId) -> &Request {
         let request = self.requests.get_mut(&id).expect("the request was delivered");
         assert!(
--- a/crates/core/tests/source_layout.rs
+++ b/crates/core/tests/source_layout.rs
@@ -1,5 +1,5 @@
-//! Checks of the policy files, the source files that contain the balancer's decision logic: the deploy file
-//! must list all of them, and each must be short enough to be read whole.
+//! Tests of the policy files, which are the source files with the balancer's decision logic. The deploy file
+//! must list exactly these files, and each must be short enough to be read whole.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -24,7 +24,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .ancestors()
         .nth(2)
-        .expect("the crate is two folders below the workspace root")
+        .expect("the crate is two directories below the workspace root")
 }
 
 /// Returns the files that the `policy` key of the deploy file lists.
@@ -90,9 +90,9 @@
 
 #[test]
 fn a_file_one_line_or_one_character_over_a_limit_is_reported() {
-    let longest = "x\n\n".repeat(MAX_LINES_PER_FILE);
-    assert!(violations(&longest).is_empty(), "blank lines were counted");
-    assert_eq!(violations(&(longest + "y\n")).len(), 1);
+    let longest_allowed = "x\n\n".repeat(MAX_LINES_PER_FILE);
+    assert!(violations(&longest_allowed).is_empty(), "blank lines were counted");
+    assert_eq!(violations(&(longest_allowed + "y\n")).len(), 1);
     assert!(
         violations(&"é".repeat(MAX_CHARACTERS_PER_LINE)).is_empty(),
         "bytes were counted instead of characters"
