--- a/crates/core/tests/cancellation.rs
+++ b/crates/core/tests/cancellation.rs
@@ -27,7 +27,7 @@
         let settings = settings_without_hedging().late_priority_weight(0.5).build();
         let mut harness = BalancerHarness::new(settings, &endpoints(2));
         // Enough requests to learn that responses usually arrive at once.
-        harness.play_requests(800, ms(20), |_| Some(Outcome::Ok));
+        harness.simulate_requests(800, ms(20), |_| Some(Outcome::Ok));
 
         let slow_request = harness.send_request(0, 0, ms(1000));
         let Some(&Action::SendAttempt { upstream, timeout: None, .. }) = harness.last_actions.last() else {
@@ -69,7 +69,7 @@
 fn an_upstream_with_few_requests_does_not_count_as_unresponsive() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
     // Each upstream responds every 0.8 s.
-    harness.play_requests(200, ms(100), |_| Some(Outcome::Ok));
+    harness.simulate_requests(200, ms(100), |_| Some(Outcome::Ok));
 
     let slow_request = harness.send_request(0, 0, ms(1000));
     let upstream = harness.upstream_of(slow_request, 0).expect("the request should be forwarded");
@@ -272,7 +272,7 @@
     harness.deliver(Event::ClientDisconnected { id });
     harness.end_attempt(id, 0, Outcome::Cancelled);
     // These successes keep the upstream from being ejected.
-    harness.play_requests(4, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(4, ms(10), |_| Some(Outcome::Ok));
 }
 
 /// By the time an upstream returns to the rotation, it has finished the abandoned attempts that it was still
@@ -285,12 +285,12 @@
     let settings = settings_without_hedging().classes(vec![class]).quotas(&[1000.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(2));
     // Enough requests to learn that responses usually arrive at once.
-    harness.play_requests(2500, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(2500, ms(10), |_| Some(Outcome::Ok));
     for _ in 0..3 {
         abandon_attempt_at(&mut harness, RETURNING_UPSTREAM);
     }
     let sent_before = harness.attempts_sent_to(RETURNING_UPSTREAM);
-    harness.play_requests(20, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(20, ms(10), |_| Some(Outcome::Ok));
     assert_eq!(
         harness.attempts_sent_to(RETURNING_UPSTREAM),
         sent_before,
@@ -300,10 +300,10 @@
     let with_availability =
         |availability| vec![EndpointBuilder::new(RETURNING_UPSTREAM.0).availability(availability).build()];
     harness.update_endpoints(UpdateScope::Delta, &with_availability(Availability::Draining));
-    harness.play_requests(300, ms(100), |_| Some(Outcome::Ok));
+    harness.simulate_requests(300, ms(100), |_| Some(Outcome::Ok));
     harness.update_endpoints(UpdateScope::Delta, &with_availability(Availability::Ready));
     let sent_before = harness.attempts_sent_to(RETURNING_UPSTREAM);
-    harness.play_requests(100, ms(10), |_| Some(Outcome::Ok));
+    harness.simulate_requests(100, ms(10), |_| Some(Outcome::Ok));
 
     let sent = harness.attempts_sent_to(RETURNING_UPSTREAM) - sent_before;
     assert!(
--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -73,7 +73,7 @@
     harness.update_endpoints(UpdateScope::Snapshot, &malformed);
     harness.advance(ms(10_000));
 
-    harness.play_requests(200, ms(30), |_| Some(Outcome::Ok));
+    harness.simulate_requests(200, ms(30), |_| Some(Outcome::Ok));
 
     let served = harness.response_count(FinalResponse::Served);
     assert!(served > 180, "only {served} of 200 requests were served");
@@ -135,7 +135,7 @@
     }
     harness.advance(ms(20_000));
 
-    harness.play_requests(100, ms(30), |_| Some(Outcome::Ok));
+    harness.simulate_requests(100, ms(30), |_| Some(Outcome::Ok));
 
     assert!(
         harness.attempts_sent_to(CHECKED_UPSTREAM) > 20,
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -114,7 +114,7 @@
     let forwarded_before = harness.forwarded_requests();
 
     // The rate is a third of the quota. The upstreams have half of their capacity by now and can serve it.
-    harness.play_requests(40, ms(150), |_| Some(Outcome::Ok));
+    harness.simulate_requests(40, ms(150), |_| Some(Outcome::Ok));
 
     let forwarded = harness.forwarded_requests() - forwarded_before;
     assert!(forwarded >= 36, "only {forwarded} of 40 requests were forwarded once the upstreams responded");
--- a/crates/core/tests/slow_start/wall_clock.rs
+++ b/crates/core/tests/slow_start/wall_clock.rs
@@ -196,9 +196,9 @@
     let mut harness = balancer_with_traffic();
     let outcome_of =
         |upstream| Some(if upstream == RESTARTED_UPSTREAM { Outcome::ConnectFailed } else { Outcome::Ok });
-    harness.play_requests(100, REQUEST_INTERVAL, outcome_of);
+    harness.simulate_requests(100, REQUEST_INTERVAL, outcome_of);
     let sent_while_ejected = harness.attempts_sent_to(RESTARTED_UPSTREAM);
-    harness.play_requests(20, REQUEST_INTERVAL, outcome_of);
+    harness.simulate_requests(20, REQUEST_INTERVAL, outcome_of);
     assert_eq!(
         harness.attempts_sent_to(RESTARTED_UPSTREAM),
         sent_while_ejected,
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -25,7 +25,7 @@
 /// Sends `request_count` requests and returns the upstreams that they went to.
 fn used_upstreams(harness: &mut BalancerHarness, request_count: usize) -> BTreeSet<UpstreamId> {
     harness.attempts.clear();
-    harness.play_requests(request_count, ms(500), |_| Some(Outcome::Ok));
+    harness.simulate_requests(request_count, ms(500), |_| Some(Outcome::Ok));
     harness.attempts.values().flatten().map(|attempt| attempt.upstream).collect()
 }
 
