--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of the process: the JSON file that the environment variable `NODE_CONFIG` names.
+//! The configuration of the process, read from the JSON file that the environment variable `NODE_CONFIG`
+//! names.
 
 use balancer_settings::{SettingsParseError, Site};
 use serde::Deserialize;
@@ -12,18 +13,19 @@
 #[cfg(test)]
 mod tests;
 
-/// The environment variable that names the configuration file.
+/// The environment variable that holds the path of the configuration file.
 const PATH_VARIABLE: &str = "NODE_CONFIG";
-/// Descriptors kept for standard streams, the poller, the listening socket and calls to discovery (about ten
-/// overlapping).
+/// File descriptors reserved for the standard streams, the poller, the listening socket and calls to
+/// discovery, of which about ten may overlap.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The most descriptors that are counted on: what Linux lets a process have by default (`fs.nr_open`). The
-/// semaphores that divide them hold no arbitrary number.
+/// The largest number of file descriptors that the proxy uses: the default limit of Linux for one process
+/// (`fs.nr_open`). A larger number could exceed the maximum of the semaphores that limit connections.
 const MAX_DESCRIPTORS: usize = 1 << 20;
-/// Fraction of the other descriptors that connections to upstreams may use; clients get the rest.
+/// The fraction of the unreserved file descriptors that connections to upstreams may use. Client connections
+/// get the rest.
 const UPSTREAM_SOCKET_FRACTION: f64 = 0.45;
-/// Buffered responses may use one part in this many of the memory. Reading a response holds it twice for a
-/// moment.
+/// Buffered responses may use the memory limit divided by this number. The memory in use may be twice that
+/// for a moment, because reading a response briefly holds two copies of it.
 const BUFFERED_RESPONSE_MEMORY_DIVISOR: usize = 5;
 const BYTES_PER_MEBIBYTE: usize = 1024 * 1024;
 
@@ -34,62 +36,62 @@
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the balancer's random generator.
+    /// The seed of the balancer's random number generator.
     pub seed: u64,
     /// The resources that the process may use.
     pub limits: Limits,
-    /// The cached endpoint list in discovery's JSON form; empty if there is none.
+    /// The cached endpoint list in the JSON format of discovery; empty if there is none.
     pub cached_endpoints: String,
     /// The balancer's settings, with the names of classes and tenants.
     pub site: Site,
 }
 
-/// Why the configuration can't be loaded.
+/// An error that keeps the configuration from being loaded.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
-    #[error("{PATH_VARIABLE} names no configuration file")]
+    /// The environment variable that names the configuration file is not set.
+    #[error("the environment variable {PATH_VARIABLE} is not set, but has to name the configuration file")]
     PathNotSet,
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The configuration file can't be read.
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
         /// The configuration file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file holds no valid configuration.
-    #[error("{}: {source}", path.display())]
+    #[error("invalid configuration in {}: {source}", path.display())]
     Invalid {
         /// The configuration file.
         path: PathBuf,
-        /// The field that is invalid, and why.
+        /// The invalid field, and what is wrong with it.
         source: InvalidConfig,
     },
 }
 
-/// Why a text is no valid configuration. Each message names the field.
+/// An error in the text of a configuration. The message names the field unless the JSON itself is malformed.
 #[derive(Debug, Error)]
 pub enum InvalidConfig {
-    /// The text is no JSON object with the required fields, or a value has the wrong type. The message names
-    /// the field.
+    /// The text is not a JSON object with the required fields, or a value has the wrong type. The message
+    /// names the field.
     #[error("{0}")]
     Json(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// The object is followed by something else.
+    /// The JSON object is followed by other text.
     #[error("{0}")]
     TrailingText(serde_json::Error),
-    /// `seed` is no hexadecimal number of 64 bits.
+    /// `seed` is not a hexadecimal number of at most 64 bits.
     #[error("seed: {0}")]
     Seed(#[from] ParseIntError),
-    /// `settings` can't be read.
+    /// `settings` is not a valid settings object.
     #[error("{0}")]
     Settings(#[from] SettingsParseError),
-    /// `limits.sockets` leaves too few descriptors for clients and upstreams.
-    #[error("limits.sockets: {0} are too few")]
+    /// `limits.sockets` leaves too few file descriptors for clients and upstreams.
+    #[error("limits.sockets: {0} file descriptors are too few")]
     TooFewSockets(usize),
 }
 
-/// The file's JSON object. Fields that are not listed are ignored.
+/// The JSON object in the configuration file. Other fields are ignored.
 #[derive(Deserialize)]
 struct RawConfig<'a> {
     listen: SocketAddr,
@@ -107,11 +109,11 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// CPU cores; may be a fraction. Only logged.
+    /// CPU cores, possibly a fraction. The value is only logged.
     pub cores: f64,
     /// Memory in MiB.
     pub memory_mb: u64,
-    /// File descriptors; at most [`MAX_DESCRIPTORS`] are used.
+    /// File descriptors. The proxy uses at most [`MAX_DESCRIPTORS`].
     pub sockets: usize,
 }
 
@@ -122,8 +124,8 @@
 }
 
 impl Config {
-    /// Reads the file that `NODE_CONFIG` names. Fails if the variable is not set, or if the file can't be
-    /// read or holds no valid configuration.
+    /// Reads the configuration file that `NODE_CONFIG` names. Fails if the variable is not set, or if the
+    /// file can't be read or holds no valid configuration.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var_os(PATH_VARIABLE).map(PathBuf::from).ok_or(ConfigError::PathNotSet)?;
         let text = match std::fs::read_to_string(&path) {
@@ -154,17 +156,17 @@
         })
     }
 
-    /// The number of connections to upstreams that may be open.
+    /// Returns the number of connections to upstreams that may be open at once.
     pub fn max_upstream_connections(&self) -> usize {
         ((self.limits.sockets - RESERVED_DESCRIPTORS) as f64 * UPSTREAM_SOCKET_FRACTION) as usize
     }
 
-    /// The number of client connections that may be open.
+    /// Returns the number of client connections that may be open at once.
     pub fn max_client_connections(&self) -> usize {
         self.limits.sockets - RESERVED_DESCRIPTORS - self.max_upstream_connections()
     }
 
-    /// The number of bytes that long responses may hold together while they are buffered.
+    /// Returns the number of bytes that all large responses together may occupy while they are buffered.
     pub fn max_buffered_response_bytes(&self) -> usize {
         let memory_bytes = (self.limits.memory_mb as usize).saturating_mul(BYTES_PER_MEBIBYTE);
         memory_bytes / BUFFERED_RESPONSE_MEMORY_DIVISOR
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -5,7 +5,7 @@
     "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
 
 #[test]
-fn descriptors_are_divided_within_the_limit() {
+fn connection_limits_and_reserved_descriptors_add_up_to_the_configured_number() {
     let config = Config::parse(VALID).unwrap();
 
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
@@ -14,15 +14,15 @@
     assert!(config.cached_endpoints.contains("targets"));
 }
 
-/// The process ended at its start where the number exceeded what a semaphore holds.
+/// A semaphore panics if it gets more permits than it can hold, which would end the process at its start.
 #[test]
-fn more_descriptors_than_a_process_can_have_are_not_counted_on() {
+fn connection_limits_do_not_exceed_the_descriptors_that_a_process_can_have() {
     for sockets in [MAX_DESCRIPTORS + 1, usize::MAX] {
         let config = Config::parse(&VALID.replace("1024", &sockets.to_string())).unwrap();
 
         let total =
             config.max_upstream_connections() + config.max_client_connections() + RESERVED_DESCRIPTORS;
-        assert_eq!(total, MAX_DESCRIPTORS, "of {sockets}");
+        assert_eq!(total, MAX_DESCRIPTORS, "with {sockets} configured");
     }
 }
 
--- a/crates/proxy/src/lifecycle_phase.rs
+++ b/crates/proxy/src/lifecycle_phase.rs
@@ -1,14 +1,14 @@
-//! The phases in the life of the process, which the clients' side follows.
+//! The phases of the process's life, which the downstream side follows.
 
-/// How far the process is in its life.
+/// The current phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecyclePhase {
-    /// Serving, and ready for new connections.
+    /// Reports that it is ready, accepts connections and serves requests.
     Serving,
     /// Reports that it is not ready, but still accepts connections and serves requests on them, because the
     /// balancer that replaces it may have only just started.
     LameDuck,
-    /// Accepts no new connections but those that already wait in the backlog; open ones end between two
+    /// Accepts only the connections that already wait in the backlog, and closes open connections between two
     /// requests.
     Draining,
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! `balancer-proxy`: an HTTP load balancer on real sockets. Every decision is made by the `balancer_core`
-//! library.
+//! `balancer-proxy`: an HTTP load balancer. The proxy does the network I/O; the `balancer_core` library makes
+//! the load-balancing decisions.
 
 mod config;
 mod deadline;
@@ -23,7 +23,8 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tracing::level_filters::LevelFilter;
 
-/// The environment variable that sets the log level; without it, or if it can't be read, the level is `info`.
+/// The environment variable that sets the log level. The level is `info` if the variable is missing or
+/// invalid.
 const LOG_LEVEL_VARIABLE: &str = "NODE_LOG";
 
 fn main() -> ExitCode {
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and gauges of one balancer, kept in a Prometheus registry. They are not exported; those that
-//! change are logged at intervals.
+//! The counters and gauges of one balancer, kept in a Prometheus registry. They are not exported; changed
+//! ones are logged at a fixed interval.
 
 use balancer_core::{Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, text::encode};
@@ -11,23 +11,24 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time between two log lines about changed metrics.
+/// Time between two checks for changed metrics to log.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum ResponseKind {
-    /// With the response of an upstream.
+    /// The client got the response of an upstream.
     Served,
     /// Rejected: the token bucket of the tenant was empty.
     RejectedOverQuota,
-    /// Rejected: no upstream could take a request.
+    /// Rejected: no upstream could take the request.
     RejectedNoUpstream,
-    /// Rejected: no attempt was executed, and no retry was possible.
+    /// Rejected: all attempts failed and no retry was possible, but the client can safely send the request
+    /// again.
     RejectedNoRetry,
-    /// Failed: it may have been executed.
+    /// Failed: the request may have been executed.
     Failed,
-    /// Without a response: the client disconnected first.
+    /// Ended without a response: the client disconnected first.
     ClientDisconnected,
 }
 
@@ -41,24 +42,24 @@
     }
 }
 
-/// How an attempt ended, as the label of a metric; see [`Outcome`].
+/// How an attempt ended, as the label of a metric. The variants are those of [`Outcome`].
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The upstream served the request.
     Ok,
     /// The upstream responded with an error.
     Error,
     /// The upstream rejected the request without executing it.
     Rejected,
-    /// No response in time.
+    /// No response arrived in time.
     TimedOut,
-    /// No connection was established.
+    /// No connection to the upstream was established.
     ConnectFailed,
     /// The connection ended without a response.
     Reset,
-    /// Cancelled by the balancer.
+    /// The balancer cancelled the attempt.
     Cancelled,
-    /// Not sent.
+    /// The request was not sent to the upstream.
     NotSent,
 }
 
@@ -94,20 +95,21 @@
     attempts: Family<AttemptLabels, Counter>,
     /// Requests handed to the balancer.
     pub requests: Counter,
-    /// Attempts after the first one of their request.
+    /// Attempts other than the first one of their request.
     pub retries_and_hedges: Counter,
-    /// Attempts and health checks withheld because the upstream stopped being ready while a connection was
-    /// obtained.
+    /// Attempts and health checks that were not sent because the upstream stopped being ready while they
+    /// waited for a connection.
     pub withheld_attempts: Counter,
-    /// Calls to discovery that were begun.
+    /// Calls to discovery that were started, successful or not.
     pub discovery_calls: Counter,
-    /// Calls to discovery that failed or were given up before the head of their response.
+    /// Calls to discovery that failed or were given up before the head of their response arrived.
     pub discovery_calls_failed: Counter,
-    /// Watches that discovery ended or that failed. One aborted by a move of discovery does not count.
+    /// Watches that discovery ended or that failed. A watch that is aborted because discovery has a new
+    /// address does not count.
     pub watches_ended: Counter,
-    /// Endpoint lists and changes of them that were read.
+    /// Endpoint lists and changes of them that were read from discovery.
     pub endpoint_lists: Counter,
-    /// Their size.
+    /// Total size in bytes of the lists and changes that `endpoint_lists` counts.
     pub endpoint_list_bytes: Counter,
     /// The version of the endpoint list in use.
     pub endpoint_list_version: Gauge,
@@ -170,15 +172,16 @@
         self.attempts.get_or_create(&AttemptLabels { outcome }).inc();
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 
-    /// Logs, at each [`LOG_INTERVAL`], the metrics that have changed since the one before. Does not return.
+    /// Logs, at each [`LOG_INTERVAL`], the metrics that have changed since the previous interval. Never
+    /// returns.
     pub async fn log_changes(&self) {
         let mut previous = BTreeMap::new();
         loop {
@@ -193,17 +196,17 @@
     }
 }
 
-/// Values by name and labels, as they stand in the Prometheus text format.
+/// The values of metrics by name and labels, both as they appear in the Prometheus text format.
 type Samples = BTreeMap<String, String>;
 
-/// Reads the samples of a text in the Prometheus text format.
+/// Parses the samples of a text in the Prometheus text format.
 fn parse_samples(text: &str) -> Samples {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let samples = lines.filter_map(|line| line.rsplit_once(' '));
     samples.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
 }
 
-/// The samples that are new or differ, as `name=value`.
+/// Returns the samples of `current` that are new or differ from `previous`, as `name=value`.
 fn changed_samples(previous: &Samples, current: &Samples) -> Vec<String> {
     let changed = current.iter().filter(|(name, value)| previous.get(*name) != Some(*value));
     changed.map(|(name, value)| format!("{name}={value}")).collect()
--- a/crates/proxy/src/rate_limited_log.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -1,22 +1,23 @@
-//! Warnings about what peers send, at a bounded rate: a peer can repeat itself faster than the log may grow.
+//! Limits the rate of warnings about peers. Without a limit, a peer that repeats its faults could flood the
+//! log.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Least time between two warnings.
+/// The shortest time between two warnings in the log.
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Logs at most one warning in each [`WARNING_INTERVAL`] and counts those that it suppresses.
+/// Logs at most one warning per [`WARNING_INTERVAL`] and counts the suppressed ones.
 #[derive(Default)]
 pub struct RateLimitedLog {
     last_logged_at: Cell<Option<Instant>>,
-    /// Warnings suppressed since the last one that was logged.
+    /// The number of warnings suppressed since the last one that was logged.
     skipped: Cell<u64>,
 }
 
 impl RateLimitedLog {
-    /// Calls `log`, which writes the warning, with the number of warnings suppressed before it; or suppresses
-    /// the warning.
+    /// Calls `log` to write the warning, and passes it the number of warnings suppressed since the last one.
+    /// If the interval has not passed, suppresses the warning and does not call `log`.
     pub fn warn(&self, log: impl FnOnce(u64)) {
         let now = Instant::now();
         if self.last_logged_at.get().is_some_and(|last| now - last < WARNING_INTERVAL) {
--- a/crates/proxy/src/socket_io.rs
+++ b/crates/proxy/src/socket_io.rs
@@ -1,7 +1,7 @@
-//! Socket calls that handle interrupted and partial results.
+//! Socket operations that handle interrupted calls and partial reads and writes.
 //!
-//! An interrupted call is repeated. A partial read or write does not clear the stream's readiness: it counts
-//! as ready until the kernel reports `WouldBlock`.
+//! An interrupted call is repeated. A partial read or write does not clear the stream's readiness: the stream
+//! counts as ready until the kernel reports `WouldBlock`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Whether a failed call was interrupted by a signal and has to be repeated at once.
+/// Returns whether a call failed because a signal interrupted it, so that it has to be repeated at once.
 pub fn is_interrupted(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
 }
 
-/// Whether a failed call has to be repeated, either at once or when the stream is ready again.
+/// Returns whether a failed call has to be repeated, either at once or when the stream is ready again.
 pub fn is_retryable(error: &io::Error) -> bool {
     is_interrupted(error) || error.kind() == io::ErrorKind::WouldBlock
 }
 
-/// Connects to a peer. Fails with the error of the connect call.
+/// Connects to a peer and repeats interrupted calls. Fails with any other error of the connect call.
 pub async fn connect(peer: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(peer).await {
@@ -50,8 +50,8 @@
     }
 }
 
-/// Calls `write` when the stream is writable and returns the number of bytes that the kernel
-/// accepted. Fails if the connection has broken.
+/// Calls `write` once the stream is writable and returns the number of bytes that the kernel accepted. Fails
+/// if the connection has broken.
 pub fn poll_write(
     stream: &TcpStream,
     context: &mut Context<'_>,
