--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -1,10 +1,10 @@
-//! How each action of the balancer is carried out.
+//! Carries out the actions of the balancer.
 
-use crate::deadline::earlier_of;
+use crate::deadline::earlier_deadline;
 use crate::driver::event_queue::DriverEvent;
 use crate::driver::in_flight::Attempt;
 use crate::driver::request::FinalResponse;
-use crate::driver::{Core, Driver};
+use crate::driver::{Driver, DriverState};
 use crate::upstream::Interruption;
 use balancer_core::{Action, AttemptIndex, Outcome, RequestId, TimerId, UpstreamId};
 use std::rc::Rc;
@@ -13,41 +13,42 @@
 use tokio::time::{Instant, sleep};
 
 impl Driver {
-    /// Carries out one action. Whatever comes of it later is delivered as an event.
-    pub(super) fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
+    /// Carries out one action. Its later results are delivered as events.
+    pub(super) fn carry_out(self: &Rc<Self>, state: &mut DriverState, action: Action) {
         match action {
-            Action::SendAttempt { id, upstream, timeout } => self.send_attempt(core, id, upstream, timeout),
-            Action::CancelAttempt { id, attempt } => self.cancel_attempt(core, id, attempt),
+            Action::SendAttempt { id, upstream, timeout } => self.start_attempt(state, id, upstream, timeout),
+            Action::CancelAttempt { id, attempt } => self.cancel_attempt(state, id, attempt),
             Action::Reject { id, retry_after, reason } => {
-                self.finish_request(core, id, FinalResponse::Rejected { retry_after, reason });
+                self.finish_request(state, id, FinalResponse::Rejected { retry_after, reason });
             }
-            Action::Fail { id } => self.finish_request(core, id, FinalResponse::Failed),
+            Action::Fail { id } => self.finish_request(state, id, FinalResponse::Failed),
             Action::SetTimer { after, timer } => self.set_timer(after, timer),
             Action::WatchEndpoints => self.watch_endpoints(),
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
-            // The actions from here on are not emitted by the present core.
+            // `balancer_core` does not emit the remaining actions at present.
             Action::FetchEndpoints => self.fetch_endpoints(),
             Action::CheckHealth { upstream } => self.check_health(upstream),
             Action::Log { line } => tracing::info!("{line}"),
         }
     }
 
-    /// Sends an attempt, unless the request has had its final response or its client has disconnected.
-    fn send_attempt(
+    /// Starts an attempt, unless the request already has its final response or its client has disconnected.
+    fn start_attempt(
         self: &Rc<Self>,
-        core: &mut Core,
+        state: &mut DriverState,
         id: RequestId,
         upstream: UpstreamId,
         timeout: Option<Duration>,
     ) {
-        let Some(request) = core.requests.get_mut(id) else { return };
+        let Some(request) = state.requests.get_mut(id) else { return };
         let Some(response_sender) = &request.response_sender else { return };
-        let mut interruption = Interruption::new(response_sender.abandonment(), self.abort_all.subscribe());
+        let mut interruption =
+            Interruption::new(response_sender.abandonment(), self.abort_attempts.subscribe());
         let sent_at = Instant::now();
-        let index = request.next_attempt();
+        let index = request.next_attempt_index();
         let incoming = Rc::clone(&request.incoming);
-        let deadline =
-            timeout.map_or(incoming.deadline, |timeout| earlier_of(incoming.deadline, sent_at, timeout));
+        let deadline = timeout
+            .map_or(incoming.deadline, |timeout| earlier_deadline(incoming.deadline, sent_at, timeout));
         let driver = Rc::clone(self);
         let task = spawn_local(async move {
             let outgoing = &incoming.outgoing;
@@ -61,22 +62,23 @@
         request.add_attempt(Attempt { upstream, sent_at, task: task.abort_handle(), is_in_flight: true });
     }
 
-    /// Stops an attempt. Its end is queued behind the events that have already happened.
-    fn cancel_attempt(&self, core: &mut Core, id: RequestId, index: AttemptIndex) {
-        let Some(request) = core.requests.get_mut(id) else { return };
+    /// Aborts the task of an attempt and queues the end of the attempt behind the events that have already
+    /// happened.
+    fn cancel_attempt(&self, state: &mut DriverState, id: RequestId, index: AttemptIndex) {
+        let Some(request) = state.requests.get_mut(id) else { return };
         let Some(attempt) = request.attempt_in_flight(index) else { return };
         attempt.task.abort();
         let result = Outcome::Cancelled.into();
         self.queue.push(DriverEvent::AttemptEnded { id, attempt: index, result });
     }
 
-    /// Sends the final response of a request, unless it has had one or its client has disconnected.
-    fn finish_request(&self, core: &mut Core, id: RequestId, response: FinalResponse) {
-        let Some(request) = core.requests.get_mut(id) else { return };
+    /// Sends the final response of a request, unless one was already sent or the client has disconnected.
+    fn finish_request(&self, state: &mut DriverState, id: RequestId, response: FinalResponse) {
+        let Some(request) = state.requests.get_mut(id) else { return };
         if let Some(response_sender) = request.response_sender.take() {
             self.send_response(id, response_sender, response);
         }
-        core.requests.remove_if_finished(id);
+        state.requests.remove_if_finished(id);
     }
 
     fn set_timer(self: &Rc<Self>, after: Duration, timer: TimerId) {
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -1,5 +1,5 @@
-//! The clock that the balancer's events are stamped with, and how old the starts of upstreams are by the wall
-//! clock.
+//! The monotonic clock that timestamps the balancer's events, and the wall clock that tells the age of an
+//! upstream's process.
 
 #[cfg(test)]
 mod tests;
@@ -8,39 +8,42 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Reading of the clock when this process starts. The balancer takes zero for "never".
+/// The time that a [`Clock`] shows when it starts. It is not zero, because the balancer takes zero for
+/// "never".
 const TIME_AT_START: Duration = Duration::from_secs(3600);
 
-/// A monotonic clock.
+/// A monotonic clock that starts at [`TIME_AT_START`].
 pub(super) struct Clock {
     started_at: Instant,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts a clock.
     pub(super) fn start() -> Self {
         Self { started_at: Instant::now() }
     }
 
-    /// The present time on this clock.
+    /// Returns the current time on this clock.
     pub(super) fn now(&self) -> Duration {
         TIME_AT_START + self.started_at.elapsed()
     }
 }
 
-/// One reading of the wall clock, which may be stepped between two of them.
+/// A reading of the wall clock. The wall clock may be stepped between two readings.
 #[derive(Clone, Copy)]
 pub(super) struct WallClockReading {
+    /// Time since the Unix epoch.
     unix_time: Duration,
 }
 
 impl WallClockReading {
-    /// Reads the clock.
+    /// Reads the wall clock. A time before the Unix epoch counts as the epoch.
     pub(super) fn now() -> Self {
         Self { unix_time: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() }
     }
 
-    /// The start of an upstream's process that discovery states in Unix time; 0 stands for long ago.
+    /// Converts the start time of an upstream's process, which discovery states as Unix time in milliseconds,
+    /// into the balancer's form. A start time of 0 is unknown; one in the future has an age of zero.
     pub(super) fn process_start(self, started_at_unix_ms: u64) -> ProcessStart {
         if started_at_unix_ms == 0 {
             return ProcessStart::Unknown;
--- a/crates/proxy/src/driver/clock/tests.rs
+++ b/crates/proxy/src/driver/clock/tests.rs
@@ -2,12 +2,12 @@
 
 const STARTED_AT_UNIX_MS: u64 = 1_700_000_000_000;
 
-fn start_read_at(unix_ms: u64) -> ProcessStart {
+fn process_start_at(unix_ms: u64) -> ProcessStart {
     let reading = WallClockReading { unix_time: Duration::from_millis(unix_ms) };
     reading.process_start(STARTED_AT_UNIX_MS)
 }
 
-fn start_of_age(age_ms: u64) -> ProcessStart {
+fn process_start_of_age(age_ms: u64) -> ProcessStart {
     ProcessStart::ByWallClock { incarnation: STARTED_AT_UNIX_MS, age: Duration::from_millis(age_ms) }
 }
 
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn a_start_is_told_apart_by_its_time_and_has_an_age_by_the_wall_clock() {
-    assert_eq!(start_read_at(STARTED_AT_UNIX_MS + 2500), start_of_age(2500));
-    assert_eq!(start_read_at(STARTED_AT_UNIX_MS + 3_700_000), start_of_age(3_700_000));
+fn a_process_start_is_identified_by_its_time_and_has_an_age_by_the_wall_clock() {
+    assert_eq!(process_start_at(STARTED_AT_UNIX_MS + 2500), process_start_of_age(2500));
+    assert_eq!(process_start_at(STARTED_AT_UNIX_MS + 3_700_000), process_start_of_age(3_700_000));
 }
 
-/// The clock may have been stepped back since the start.
+/// The wall clock may have been stepped back since the upstream's process started.
 #[test]
-fn a_start_that_lies_ahead_is_of_no_age() {
-    assert_eq!(start_read_at(STARTED_AT_UNIX_MS - 1), start_of_age(0));
-    assert_eq!(start_read_at(0), start_of_age(0));
+fn a_process_start_in_the_future_has_an_age_of_zero() {
+    assert_eq!(process_start_at(STARTED_AT_UNIX_MS - 1), process_start_of_age(0));
+    assert_eq!(process_start_at(0), process_start_of_age(0));
 }
 
 #[test]
-fn zero_stands_for_long_ago() {
+fn a_start_time_of_zero_is_an_unknown_process_start() {
     assert_eq!(WallClockReading::now().process_start(0), ProcessStart::Unknown);
 }
--- a/crates/proxy/src/driver/event_queue.rs
+++ b/crates/proxy/src/driver/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events for the balancer.
+//! The queue of events that the driver has still to handle.
 
 #[cfg(test)]
 mod tests;
@@ -10,23 +10,23 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Something that has happened and that the balancer is to be told of.
+/// Something that has happened and that the balancer has to be notified of.
 pub(super) enum DriverEvent {
-    /// Discovery has sent an update, or a call to it failed.
+    /// Discovery has sent an update of the endpoint list, or a call to discovery has failed.
     EndpointUpdate { update: WatchEvent },
     /// A client has sent a request.
     RequestArrived { id: RequestId },
-    /// An attempt has ended or was cancelled.
+    /// An attempt has ended or has been cancelled.
     AttemptEnded { id: RequestId, attempt: AttemptIndex, result: AttemptResult },
     /// A health check has ended.
     HealthCheckEnded { upstream: UpstreamId, latency: Duration, result: AttemptResult },
-    /// A client has disconnected before its final response.
+    /// A client has disconnected before it got its final response.
     ClientDisconnected { id: RequestId },
     /// A timer has fired.
     TimerFired { timer: TimerId },
 }
 
-/// Events in the order in which they happened, processed one at a time.
+/// A first-in, first-out queue whose events are processed one at a time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: RefCell<VecDeque<DriverEvent>>,
@@ -39,8 +39,8 @@
         self.events.borrow_mut().push_back(event);
     }
 
-    /// Hands all queued events to `process`, in order, until none is left. Does nothing within a call of
-    /// `process`: the outer call gets to the events that were added meanwhile.
+    /// Passes the queued events to `process`, in order, until the queue is empty. Does nothing if called from
+    /// within `process`: the outer call processes the events that were added in the meantime.
     pub(super) fn process_all(&self, mut process: impl FnMut(DriverEvent)) {
         if self.is_processing.replace(true) {
             return;
--- a/crates/proxy/src/driver/events.rs
+++ b/crates/proxy/src/driver/events.rs
@@ -1,11 +1,11 @@
-//! How each event is handled: what the driver does about it, and what the balancer is told.
+//! Handles the driver's events: updates the requests and upstreams, and notifies the balancer.
 
 use crate::discovery::endpoint_list::WatchEvent;
 use crate::driver::clock::WallClockReading;
 use crate::driver::event_queue::DriverEvent;
 use crate::driver::in_flight::ResponseSender;
 use crate::driver::request::FinalResponse;
-use crate::driver::{Core, Driver};
+use crate::driver::{Driver, DriverState};
 use crate::headers::CORRELATION_ID;
 use crate::metrics::ResponseKind;
 use crate::upstream::AttemptResult;
@@ -16,35 +16,35 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Handles one event and carries out the actions that it leads to.
-    pub(super) fn handle_event(self: &Rc<Self>, core: &mut Core, event: DriverEvent) {
+    /// Handles one event and carries out the actions that the balancer returns for it.
+    pub(super) fn handle_event(self: &Rc<Self>, state: &mut DriverState, event: DriverEvent) {
         let now = self.clock.now();
         match event {
-            DriverEvent::EndpointUpdate { update } => self.handle_endpoint_update(core, now, &update),
-            DriverEvent::RequestArrived { id } => self.handle_request_arrived(core, now, id),
+            DriverEvent::EndpointUpdate { update } => self.handle_endpoint_update(state, now, &update),
+            DriverEvent::RequestArrived { id } => self.handle_request_arrived(state, now, id),
             DriverEvent::AttemptEnded { id, attempt, result } => {
-                self.handle_attempt_ended(core, now, id, attempt, result);
+                self.handle_attempt_ended(state, now, id, attempt, result);
             }
             DriverEvent::HealthCheckEnded { upstream, latency, result } => {
-                handle_health_check_ended(core, now, upstream, latency, &result);
+                handle_health_check_ended(state, now, upstream, latency, &result);
             }
-            DriverEvent::ClientDisconnected { id } => self.handle_client_disconnected(core, now, id),
-            DriverEvent::TimerFired { timer } => core.handle(now, Event::TimerFired { timer }),
+            DriverEvent::ClientDisconnected { id } => self.handle_client_disconnected(state, now, id),
+            DriverEvent::TimerFired { timer } => state.notify_balancer(now, Event::TimerFired { timer }),
         }
-        // The vector goes back for its allocation.
-        let mut actions = std::mem::take(&mut core.actions);
+        // The empty vector is put back so that its allocation is reused.
+        let mut actions = std::mem::take(&mut state.actions);
         for action in actions.drain(..) {
-            self.carry_out(core, action);
+            self.carry_out(state, action);
         }
-        core.actions = actions;
+        state.actions = actions;
     }
 
-    fn handle_endpoint_update(&self, core: &mut Core, now: Duration, update: &WatchEvent) {
+    fn handle_endpoint_update(&self, state: &mut DriverState, now: Duration, update: &WatchEvent) {
         let entries = self.apply_endpoint_update(update);
-        core.handle(now, Event::EndpointUpdate { scope: update.scope, entries: &entries });
+        state.notify_balancer(now, Event::EndpointUpdate { scope: update.scope, entries: &entries });
     }
 
-    /// Applies an update to the connections and returns its entries for the balancer.
+    /// Applies an update of the endpoint list to the upstreams and returns its entries for the balancer.
     fn apply_endpoint_update(&self, update: &WatchEvent) -> Vec<EndpointEntry> {
         if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let listed: FxHashSet<UpstreamId> = update.entries.iter().map(|endpoint| endpoint.id).collect();
@@ -67,8 +67,8 @@
         entries
     }
 
-    fn handle_request_arrived(&self, core: &mut Core, now: Duration, id: RequestId) {
-        let Some(request) = core.requests.get(id) else { return };
+    fn handle_request_arrived(&self, state: &mut DriverState, now: Duration, id: RequestId) {
+        let Some(request) = state.requests.get(id) else { return };
         let incoming = &request.incoming;
         self.metrics.requests.inc();
         let correlation_id = incoming.outgoing.headers.get(CORRELATION_ID);
@@ -81,20 +81,20 @@
             expected_work_ms: incoming.expected_work_ms,
             is_client_retry: incoming.is_client_retry,
         };
-        core.handle(now, event);
+        state.notify_balancer(now, event);
     }
 
     fn handle_attempt_ended(
         &self,
-        core: &mut Core,
+        state: &mut DriverState,
         now: Duration,
         id: RequestId,
         index: AttemptIndex,
         result: AttemptResult,
     ) {
-        let Some(request) = core.requests.get_mut(id) else { return };
-        // An attempt may have ended by itself just before it was cancelled: only the first of both events
-        // counts.
+        let Some(request) = state.requests.get_mut(id) else { return };
+        // An attempt that ended by itself just before it was cancelled has two such events in the queue. Only
+        // the first one counts.
         let Some(attempt) = request.attempt_in_flight(index) else { return };
         attempt.is_in_flight = false;
         let upstream = attempt.upstream;
@@ -109,7 +109,8 @@
             "attempt ended"
         );
         self.metrics.record_attempt(outcome.into());
-        // Dropped if the request has had its final response, from another attempt for instance.
+        // The response is dropped if the request already has its final response, for instance from another
+        // attempt.
         if let Some(response) = result.response
             && let Some(response_sender) = request.response_sender.take()
         {
@@ -124,21 +125,21 @@
             request_finished: request.response_sender.is_none(),
             load_report: &result.load_report,
         };
-        core.handle(now, event);
-        core.requests.remove_if_finished(id);
+        state.notify_balancer(now, event);
+        state.requests.remove_if_finished(id);
     }
 
-    fn handle_client_disconnected(&self, core: &mut Core, now: Duration, id: RequestId) {
-        let Some(request) = core.requests.get_mut(id) else { return };
+    fn handle_client_disconnected(&self, state: &mut DriverState, now: Duration, id: RequestId) {
+        let Some(request) = state.requests.get_mut(id) else { return };
         if request.response_sender.take().is_some() {
             tracing::debug!(id = id.0, "client disconnected");
             self.metrics.record_response(ResponseKind::ClientDisconnected);
-            core.handle(now, Event::ClientDisconnected { id });
+            state.notify_balancer(now, Event::ClientDisconnected { id });
         }
-        core.requests.remove_if_finished(id);
+        state.requests.remove_if_finished(id);
     }
 
-    /// Sends and counts the final response of a request.
+    /// Sends the final response of a request and counts it in the metrics.
     pub(super) fn send_response(&self, id: RequestId, sender: ResponseSender, response: FinalResponse) {
         let kind = response.kind();
         tracing::debug!(id = id.0, ?kind, "final response");
@@ -148,7 +149,7 @@
 }
 
 fn handle_health_check_ended(
-    core: &mut Core,
+    state: &mut DriverState,
     now: Duration,
     upstream: UpstreamId,
     latency: Duration,
@@ -160,5 +161,5 @@
         latency,
         load_report: &result.load_report,
     };
-    core.handle(now, event);
+    state.notify_balancer(now, event);
 }
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -1,4 +1,4 @@
-//! The requests in flight, with their attempts and the clients that wait for them.
+//! The requests in flight, their attempts, and the channels to the clients that wait for a response.
 
 use crate::driver::request::{FinalResponse, IncomingRequest};
 use balancer_core::{AttemptIndex, RequestId, UpstreamId};
@@ -10,65 +10,67 @@
 
 /// One attempt of a request.
 pub(super) struct Attempt {
-    /// Where it was sent.
+    /// The upstream that it was sent to.
     pub(super) upstream: UpstreamId,
     /// When it was sent.
     pub(super) sent_at: Instant,
     /// The task that sends it and waits for the response.
     pub(super) task: AbortHandle,
-    /// The balancer has not been notified of its end.
+    /// `true` until the balancer has been notified of its end.
     pub(super) is_in_flight: bool,
 }
 
-/// Sends the final response to the client that waits for it.
+/// The sending end of the channel to the client that waits for a final response.
 pub(super) struct ResponseSender {
     response: oneshot::Sender<FinalResponse>,
-    /// Dropping it tells the attempts that nobody waits any more: a request that has not been sent completely
-    /// by then is not sent.
+    /// Dropping it tells the attempts that nobody waits for the response any more. An attempt that has not
+    /// sent its request completely by then does not send it.
     abandonment_guard: watch::Sender<()>,
 }
 
 impl ResponseSender {
-    /// A sender, and where its response arrives.
+    /// Creates a sender, and the receiver of its response.
     pub(super) fn new() -> (Self, oneshot::Receiver<FinalResponse>) {
         let (response, receiver) = oneshot::channel();
         (Self { response, abandonment_guard: watch::Sender::new(()) }, receiver)
     }
 
-    /// A channel that closes when nobody waits for the response any more. Its `changed()` resolves with an
-    /// error once the sender is dropped; no value is ever sent.
+    /// Returns a channel that closes when nobody waits for the response any more. Its `changed()` resolves to
+    /// an error once the sender is dropped; no value is ever sent.
     pub(super) fn abandonment(&self) -> watch::Receiver<()> {
         self.abandonment_guard.subscribe()
     }
 
     /// Sends the final response.
     pub(super) fn send(self, response: FinalResponse) {
-        // Fails if the client has just disconnected: nobody waits for the response then.
+        // Fails if the client has just disconnected. Nobody waits for the response in this case.
         let _ = self.response.send(response);
     }
 }
 
 /// A request that waits for its final response or still has attempts in flight.
 pub(super) struct InFlightRequest {
-    /// The request.
+    /// The request that was submitted to the driver.
     pub(super) incoming: Rc<IncomingRequest>,
-    /// Taken with the final response, or when the client disconnects.
+    /// `None` once the final response has been sent or the client has disconnected.
     pub(super) response_sender: Option<ResponseSender>,
     attempts: Vec<Attempt>,
 }
 
 impl InFlightRequest {
-    /// The index that the next attempt gets. `Settings::max_attempts` is a `u8`, so the index does not wrap.
-    pub(super) fn next_attempt(&self) -> AttemptIndex {
+    /// Returns the index of the next attempt. The index does not wrap, since `Settings::max_attempts` is a
+    /// `u8`.
+    pub(super) fn next_attempt_index(&self) -> AttemptIndex {
         AttemptIndex(self.attempts.len() as u8)
     }
 
-    /// Adds the next attempt.
+    /// Adds an attempt under the next index.
     pub(super) fn add_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
 
-    /// An attempt of whose end the balancer has not been notified; `None` if there is none of this index.
+    /// Returns an attempt whose end the balancer has not been notified of, or `None` if no such attempt has
+    /// this index.
     pub(super) fn attempt_in_flight(&mut self, index: AttemptIndex) -> Option<&mut Attempt> {
         self.attempts.get_mut(usize::from(index.0)).filter(|attempt| attempt.is_in_flight)
     }
@@ -86,8 +88,8 @@
 }
 
 impl InFlightRequests {
-    /// Adds a request and gives it an id. Ids repeat after 2^32 requests; the earlier request with the same
-    /// id is taken to have finished by then.
+    /// Adds a request and returns its id. Ids repeat after 2^32 requests; the earlier request with the same
+    /// id is assumed to have finished by then.
     pub(super) fn insert(&mut self, incoming: IncomingRequest, response_sender: ResponseSender) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
@@ -100,17 +102,17 @@
         id
     }
 
-    /// The request with this id, if it is in flight.
+    /// Returns the request with this id if it is in flight.
     pub(super) fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
         self.requests.get(&id)
     }
 
-    /// The request with this id, if it is in flight.
+    /// Returns the request with this id if it is in flight.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Removes a request that nobody waits for and that has no attempt in flight.
+    /// Removes a request if nobody waits for its final response and none of its attempts is in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(InFlightRequest::is_finished) {
             self.requests.remove(&id);
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,9 +1,9 @@
-//! Feeds the [`Balancer`] with events and carries out the actions that it returns, in order. The driver
-//! itself decides nothing.
+//! The driver: delivers events to the [`Balancer`] and carries out, in order, the actions that it returns.
+//! The driver makes no load-balancing decisions of its own.
 //!
-//! Everything that happens (a request, the end of an attempt, a timer) becomes a [`DriverEvent`] in a queue.
-//! Events are handled one at a time, so that the balancer is never entered twice; what happens meanwhile
-//! waits in the queue.
+//! Everything that happens (a request arrives, an attempt ends, a timer fires) becomes a [`DriverEvent`] in a
+//! queue. The driver handles one event at a time, so that the balancer is never called reentrantly. Events
+//! that occur while another one is handled wait in the queue.
 
 mod actions;
 mod clock;
@@ -33,104 +33,106 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The balancer and the requests that it decides on. Borrowed only while an event is handled and when a
-/// request is added.
-struct Core {
+/// The balancer and the requests that it decides on. Borrowed only while an event is handled or a request is
+/// added.
+struct DriverState {
     balancer: Balancer,
     requests: InFlightRequests,
-    /// The actions that the event being handled has led to; empty between events.
+    /// The actions that the balancer has returned for the current event; empty between events.
     actions: Vec<Action>,
 }
 
-impl Core {
-    /// Hands an event to the balancer, which adds to the actions.
-    fn handle(&mut self, now: Duration, event: Event<'_>) {
+impl DriverState {
+    /// Delivers an event to the balancer, which appends its actions to `actions`.
+    fn notify_balancer(&mut self, now: Duration, event: Event<'_>) {
         self.balancer.handle(now, event, &mut self.actions);
     }
 }
 
-/// The driver of one [`Balancer`].
+/// Connects one [`Balancer`] to its clients, its upstreams and discovery.
 pub struct Driver {
     clock: Clock,
-    core: RefCell<Core>,
+    state: RefCell<DriverState>,
     queue: EventQueue,
     upstreams: Upstreams,
     discovery: Discovery,
-    /// The balancer decides when a watch is begun, by [`Action::WatchEndpoints`]. Otherwise the driver keeps
-    /// a watch open by itself. Nothing is polled at intervals in either case.
-    polls_endpoints: bool,
-    /// `true` once all attempts have to end.
-    abort_all: watch::Sender<bool>,
+    /// Whether the balancer decides when to start a watch, by [`Action::WatchEndpoints`]. If `false`, the
+    /// driver keeps a watch open by itself. The driver polls nothing at fixed intervals in either case.
+    balancer_starts_watches: bool,
+    /// Set to `true` when all attempts have to end.
+    abort_attempts: watch::Sender<bool>,
     metrics: Rc<Metrics>,
 }
 
 impl Driver {
-    /// Starts a driver with the cached endpoint list from the configuration. `polls_endpoints` is
+    /// Starts a driver and delivers the cached endpoint list from the configuration to its balancer as the
+    /// first event. `balancer_starts_watches` is the value of
     /// [`Settings::starts_watches`](balancer_core::Settings::starts_watches).
     pub fn start(
         balancer: Balancer,
         upstreams: Upstreams,
         discovery: Discovery,
         cached_endpoints: WatchEvent,
-        polls_endpoints: bool,
+        balancer_starts_watches: bool,
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
-        let core = Core { balancer, requests: InFlightRequests::default(), actions: Vec::new() };
+        let state = DriverState { balancer, requests: InFlightRequests::default(), actions: Vec::new() };
         let driver = Rc::new(Self {
             clock: Clock::start(),
-            core: RefCell::new(core),
+            state: RefCell::new(state),
             queue: EventQueue::default(),
             upstreams,
             discovery,
-            polls_endpoints,
-            abort_all: watch::Sender::new(false),
+            balancer_starts_watches,
+            abort_attempts: watch::Sender::new(false),
             metrics,
         });
-        let sweeper = Rc::clone(&driver);
-        spawn_local(async move { sweeper.upstreams.close_expired_periodically().await });
+        let task_driver = Rc::clone(&driver);
+        spawn_local(async move { task_driver.upstreams.close_expired_periodically().await });
         driver.deliver(DriverEvent::EndpointUpdate { update: cached_endpoints });
-        if !polls_endpoints {
+        if !balancer_starts_watches {
             driver.watch_endpoints();
         }
         driver
     }
 
-    /// Submits a request to the balancer. The returned value yields its final response; dropping it earlier
-    /// means that the client has disconnected.
+    /// Submits a request to the balancer. The returned value resolves to the final response. Dropping it
+    /// before then tells the driver that the client has disconnected.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> PendingResponse {
         let (response_sender, receiver) = ResponseSender::new();
-        let id = self.core.borrow_mut().requests.insert(incoming, response_sender);
+        let id = self.state.borrow_mut().requests.insert(incoming, response_sender);
         self.deliver(DriverEvent::RequestArrived { id });
         PendingResponse::new(Rc::clone(self), id, receiver)
     }
 
-    /// Ends all attempts in flight, and each that is sent later, so that every request gets its final
-    /// response. For the end of the process.
-    pub fn abort_all(&self) {
-        self.abort_all.send_replace(true);
+    /// Aborts all attempts in flight and every attempt that is started later, so that each request gets its
+    /// final response before the process ends.
+    pub fn abort_all_attempts(&self) {
+        self.abort_attempts.send_replace(true);
     }
 
-    /// How far the first list that a watch brings has come.
-    pub fn discovery_progress(&self) -> watch::Receiver<FirstListProgress> {
+    /// Returns a receiver that follows the arrival of the first endpoint list from a watch.
+    pub fn first_list_progress(&self) -> watch::Receiver<FirstListProgress> {
         self.discovery.progress()
     }
 
-    /// The version of the endpoint list in use; 0 if there is none.
-    pub fn list_version(&self) -> u64 {
+    /// Returns the version of the endpoint list in use, or 0 if there is none.
+    pub fn endpoint_list_version(&self) -> u64 {
         self.discovery.version()
     }
 
-    /// Discovery has a new address. A watch that was ever begun is begun anew there at once, even if the
-    /// balancer or the backoff would wait: changes must not be missed meanwhile.
-    pub fn discovery_moved(self: &Rc<Self>, address: SocketAddr) {
+    /// Sets the address of discovery. If the address is new and a watch was ever started, starts a watch at
+    /// the new address at once: changes would be missed if the balancer or the backoff delayed it.
+    pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.move_to(address) {
             self.watch_endpoints();
         }
     }
 
-    /// Adds an event and handles all queued ones, unless that is already under way.
+    /// Queues an event and handles all queued events. Only queues it if the driver is already handling
+    /// events.
     fn deliver(self: &Rc<Self>, event: DriverEvent) {
         self.queue.push(event);
-        self.queue.process_all(|event| self.handle_event(&mut self.core.borrow_mut(), event));
+        self.queue.process_all(|event| self.handle_event(&mut self.state.borrow_mut(), event));
     }
 }
--- a/crates/proxy/src/driver/request.rs
+++ b/crates/proxy/src/driver/request.rs
@@ -1,4 +1,4 @@
-//! What the driver and the clients' side exchange: a request, and its final response.
+//! The types that the driver exchanges with the downstream side: a request and its final response.
 
 use crate::driver::Driver;
 use crate::driver::event_queue::DriverEvent;
@@ -12,17 +12,17 @@
 
 /// A request for the balancer to decide on.
 pub struct IncomingRequest {
-    /// Its class.
+    /// The request class, which sets the latency objective and the retry safety.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant whose quota the request counts against.
     pub tenant: TenantId,
     /// When the client stops waiting.
     pub deadline: Instant,
-    /// Expected work in milliseconds, where the client states it.
+    /// Expected work in milliseconds; `None` if the client does not state it.
     pub expected_work_ms: Option<f64>,
-    /// The client marks the request as a retry of its own.
+    /// Whether the client marks the request as a retry of its own.
     pub is_client_retry: bool,
-    /// The request as it is forwarded.
+    /// The request as it is sent to an upstream.
     pub outgoing: OutgoingRequest,
 }
 
@@ -31,19 +31,20 @@
 pub enum FinalResponse {
     /// The response of an upstream.
     Served(UpstreamResponse),
-    /// The request was not executed: the client may safely send it again.
+    /// The request was rejected. The client can safely send it again, because it was not executed or is
+    /// idempotent.
     Rejected {
-        /// How long the client should wait before it sends the request again.
+        /// How long the client should wait before it sends the request again; `None` if no time is suggested.
         retry_after: Option<Duration>,
         /// Why the request was rejected.
         reason: RejectionReason,
     },
-    /// No response; the request may have been executed.
+    /// No attempt brought a response, and the request may have been executed.
     Failed,
 }
 
 impl FinalResponse {
-    /// What the metrics count this response as.
+    /// Returns the kind under which the metrics count this response.
     pub(super) fn kind(&self) -> ResponseKind {
         match self {
             Self::Served(_) => ResponseKind::Served,
@@ -53,22 +54,22 @@
     }
 }
 
-/// A submitted request that has not had its final response. Dropping it tells the driver that the client has
-/// disconnected.
+/// The final response of a submitted request, before it has arrived. Dropping this value tells the driver
+/// that the client has disconnected.
 pub struct PendingResponse {
     driver: Rc<Driver>,
     id: RequestId,
-    /// Taken once the final response has come.
+    /// `None` once the final response has arrived.
     receiver: Option<oneshot::Receiver<FinalResponse>>,
 }
 
 impl PendingResponse {
-    /// The pending response of request `id`.
+    /// Creates the pending response of request `id`, which arrives on `receiver`.
     pub(super) fn new(driver: Rc<Driver>, id: RequestId, receiver: oneshot::Receiver<FinalResponse>) -> Self {
         Self { driver, id, receiver: Some(receiver) }
     }
 
-    /// Waits for the final response.
+    /// Waits for the final response. Returns [`FinalResponse::Failed`] if the driver drops the request.
     pub async fn response(mut self) -> FinalResponse {
         let Some(receiver) = &mut self.receiver else { return FinalResponse::Failed };
         let received = receiver.await;
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of the process: serves until SIGTERM, then shuts down gracefully within a time budget.
+//! Runs the process: serves until SIGTERM, then shuts down gracefully within a time budget.
 
 use crate::config::Config;
 use crate::lifecycle_phase::LifecyclePhase;
@@ -9,23 +9,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest lame duck phase, unless the deadlines are so short that the process has to end before. After
+/// The shortest lame duck phase, unless the deadlines are so short that the process has to end earlier. After
 /// SIGTERM the platform goes on assigning new connections to this balancer for up to 0.4 s, and clients keep
-/// using those that they have. Both need time until a neighbour that may have just started itself is ready.
+/// using their open connections. Meanwhile, another balancer, which may itself have just started, needs time
+/// to become ready for both.
 const MIN_LAME_DUCK: Duration = Duration::from_millis(600);
-/// Longest lame duck phase.
+/// The longest lame duck phase.
 const MAX_LAME_DUCK: Duration = Duration::from_millis(1200);
-/// Fraction of the longest deadline that the lame duck phase may take, within the two bounds above, so that
-/// requests that arrive at its end still have time.
+/// The fraction of the longest request deadline that the lame duck phase takes, between [`MIN_LAME_DUCK`] and
+/// [`MAX_LAME_DUCK`]. The rest is left for requests that arrive at the end of the phase.
 const LAME_DUCK_DEADLINE_FRACTION: f64 = 0.7;
-/// The platform counts deadlines up to this one before it sends SIGKILL.
+/// The longest deadline that the platform takes into account when it decides when to send SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time after the longest deadline by which the process has to end. SIGKILL may come 0.1 s later.
+/// After SIGTERM, the process has to end within the longest deadline plus this time. SIGKILL may follow 0.1 s
+/// later.
 const SHUTDOWN_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// Time to write the final responses of requests that were aborted at the end of the drain.
+/// Time for writing the final responses of requests whose attempts were aborted at the end of the drain.
 const ABORT_GRACE_PERIOD: Duration = Duration::from_millis(200);
 
-/// How long each step of the graceful shutdown may take.
+/// The time budget of each step of a graceful shutdown.
 #[derive(Debug, PartialEq, Eq)]
 struct ShutdownBudget {
     lame_duck: Duration,
@@ -33,7 +35,7 @@
 }
 
 impl ShutdownBudget {
-    /// The budget where the longest deadline of a request class is `longest_deadline`.
+    /// Returns the budget for the longest deadline of any request class.
     fn new(longest_deadline: Duration) -> Self {
         let longest_deadline = longest_deadline.min(MAX_COUNTED_DEADLINE);
         let before_abort = longest_deadline + SHUTDOWN_AFTER_DEADLINE - ABORT_GRACE_PERIOD;
@@ -46,10 +48,10 @@
     }
 }
 
-/// Starts a proxy, serves until SIGTERM and shuts down. Fails only if it can't start.
+/// Starts a proxy, serves until SIGTERM and shuts down gracefully. Fails only if the proxy can't start.
 pub async fn run(config: Config) -> Result<(), StartupError> {
     let proxy = start(&config).await?;
-    proxy.terminate.received().await;
+    proxy.sigterm.received().await;
     let deadlines = config.site.settings.classes.iter().map(|class| class.deadline);
     let budget = ShutdownBudget::new(deadlines.max().unwrap_or_default());
     shut_down(proxy, &budget).await;
@@ -62,8 +64,8 @@
     sleep(budget.lame_duck).await;
     proxy.phase.send_replace(LifecyclePhase::Draining);
     if timeout(budget.drain, &mut proxy.accept_loop).await.is_err() {
-        proxy.driver.abort_all();
-        // The process ends either way: SIGKILL would follow.
+        proxy.driver.abort_all_attempts();
+        // The process ends even if responses are left, since SIGKILL would follow.
         let _ = timeout(ABORT_GRACE_PERIOD, &mut proxy.accept_loop).await;
     }
 }
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -1,7 +1,7 @@
-//! Process signals.
+//! Receives the signals that the process handles.
 //!
-//! A signal handler sets a flag, and [`SignalFlag::received`] polls it. A pipe between the two could fail to
-//! be written, and the signal would be lost.
+//! A signal handler sets a flag, and [`SignalFlag::received`] polls the flag. The usual alternative, a pipe
+//! that the handler writes to, would lose the signal if the write failed.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::ffi::c_int;
@@ -11,21 +11,23 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a flag is polled.
+/// Time between two polls of a flag.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A flag that one signal sets. Once registered, the signal no longer ends the process.
+/// A flag that is set when a certain signal arrives. The signal no longer ends the process once its flag is
+/// registered.
 pub struct SignalFlag(Arc<AtomicBool>);
 
 impl SignalFlag {
-    /// Registers SIGTERM, which requests a graceful shutdown. Fails if the system registers no handler.
-    pub fn terminate() -> io::Result<Self> {
+    /// Registers a flag for SIGTERM, which requests a graceful shutdown. Fails if the system refuses the
+    /// handler.
+    pub fn register_sigterm() -> io::Result<Self> {
         Self::register(SIGTERM)
     }
 
-    /// Registers SIGHUP, which requests a reload of the configuration. Fails if the system registers no
-    /// handler.
-    pub fn hangup() -> io::Result<Self> {
+    /// Registers a flag for SIGHUP, which requests a reload of the configuration. Fails if the system refuses
+    /// the handler.
+    pub fn register_sighup() -> io::Result<Self> {
         Self::register(SIGHUP)
     }
 
@@ -35,7 +37,8 @@
         Ok(Self(flag))
     }
 
-    /// Waits until the signal has arrived since the last call; several signals in between count as one.
+    /// Waits for the signal. Returns at once if it has arrived since the last call returned; several signals
+    /// in between count as one.
     pub async fn received(&self) {
         while !self.0.swap(false, Ordering::SeqCst) {
             sleep(POLL_INTERVAL).await;
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,5 @@
-//! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept clients.
+//! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept client
+//! connections.
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::client::{Discovery, FirstListProgress};
@@ -7,7 +8,7 @@
 use crate::driver::Driver;
 use crate::lifecycle_phase::LifecyclePhase;
 use crate::metrics::Metrics;
-use crate::reload::reload_on_hangup;
+use crate::reload::reload_on_sighup;
 use crate::signals::SignalFlag;
 use crate::upstream::Upstreams;
 use balancer_core::Balancer;
@@ -22,20 +23,21 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long a new process waits for discovery's first complete message before it serves by the cached
-/// endpoint list. A long list takes time to read.
+/// How long a new process waits for the first complete message from discovery before it serves with the
+/// cached endpoint list. A long list takes time to arrive.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long it waits without progress. Discovery's agent runs on this machine, so silence means that it is
-/// down.
+/// How long a new process waits for the first list while nothing arrives. The agent of discovery runs on this
+/// machine, so silence means that the agent is down.
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often the address is tried: what occupies it may go away in a moment.
+/// How many times the proxy tries to bind its address. Another process that occupies the address may be about
+/// to end.
 const BIND_ATTEMPTS: usize = 20;
-/// Pause between two attempts to bind the address.
+/// Time between two attempts to bind the address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Connections that may wait to be accepted.
+/// The number of connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Why a proxy can't start.
+/// An error that keeps a proxy from starting.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The configuration can't be loaded.
@@ -45,45 +47,46 @@
     #[error(transparent)]
     Settings(#[from] InvalidSettings),
     /// The listening address can't be bound.
-    #[error("listen on {address}: {source}")]
+    #[error("cannot bind the listening address {address}: {source}")]
     Bind {
-        /// The configured address.
+        /// The configured listening address.
         address: SocketAddr,
-        /// The system's error at the last attempt.
+        /// The error of the operating system at the last attempt.
         source: io::Error,
     },
     /// The asynchronous runtime can't be set up.
-    #[error("runtime: {0}")]
+    #[error("cannot set up the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A signal handler can't be registered.
-    #[error("signal handler: {0}")]
+    #[error("cannot register a signal handler: {0}")]
     Signal(#[source] io::Error),
-    /// The bound socket can't listen.
-    #[error("listen: {0}")]
+    /// The bound socket can't listen for connections.
+    #[error("cannot listen on the bound socket: {0}")]
     Listen(#[source] io::Error),
 }
 
-/// A proxy that accepts clients.
+/// A proxy that accepts client connections.
 pub struct RunningProxy {
-    /// Set by SIGTERM.
-    pub terminate: SignalFlag,
-    /// Carries out the balancer's decisions.
+    /// Set when SIGTERM arrives.
+    pub sigterm: SignalFlag,
+    /// The driver that carries out the balancer's decisions.
     pub driver: Rc<Driver>,
-    /// The phase that the clients' side follows.
+    /// Sets the phase of the process, which the downstream side follows.
     pub phase: watch::Sender<LifecyclePhase>,
-    /// Ends once the proxy drains and the last client has gone.
+    /// The task that accepts client connections. Ends once the proxy drains and the last client has
+    /// disconnected.
     pub accept_loop: JoinHandle<()>,
 }
 
-/// Starts a proxy. Returns once clients can connect. Fails if the settings are invalid, a signal handler
-/// cannot be registered or the address cannot be bound or listened on.
+/// Starts a proxy and returns once clients can connect. Fails if the settings are invalid, a signal handler
+/// can't be registered, or the listening address can't be bound or listened on.
 pub async fn start(config: &Config) -> Result<RunningProxy, StartupError> {
-    log_warnings(&config.site);
+    log_settings_warnings(&config.site);
     let balancer = Balancer::new(config.site.settings.clone(), config.seed).map_err(InvalidSettings)?;
-    // Both handlers are set before anybody can know that this process is ready: unhandled, the signals would
-    // kill it.
-    let terminate = SignalFlag::terminate().map_err(StartupError::Signal)?;
-    let hangup = SignalFlag::hangup().map_err(StartupError::Signal)?;
+    // An unhandled signal would kill the process, so both handlers are registered before anybody can see that
+    // the process is ready and signal it.
+    let sigterm = SignalFlag::register_sigterm().map_err(StartupError::Signal)?;
+    let sighup = SignalFlag::register_sighup().map_err(StartupError::Signal)?;
     let socket =
         bind(config.listen).await.map_err(|source| StartupError::Bind { address: config.listen, source })?;
     let metrics = Rc::new(Metrics::default());
@@ -91,20 +94,20 @@
     if !config.site.settings.starts_watches {
         wait_for_first_list(&driver).await;
     }
-    // Clients can't connect earlier than this.
-    let listener = socket.listen(LISTEN_BACKLOG).map_err(StartupError::Listen)?;
-    let address = listener.local_addr().map_err(StartupError::Listen)?;
-    tracing::info!(listen = %address, version = driver.list_version(), "serving");
+    // Clients can't connect before this call.
+    let tcp_listener = socket.listen(LISTEN_BACKLOG).map_err(StartupError::Listen)?;
+    let address = tcp_listener.local_addr().map_err(StartupError::Listen)?;
+    tracing::info!(listen = %address, version = driver.endpoint_list_version(), "serving");
     spawn_local(async move { metrics.log_changes().await });
     let (phase, phase_receiver) = watch::channel(LifecyclePhase::Serving);
-    let clients = Listener::new(Rc::clone(&driver), &config.site, phase_receiver);
-    let accept_loop = spawn_local(clients.run(listener, config.max_client_connections()));
-    spawn_local(reload_on_hangup(hangup, Rc::clone(&driver)));
-    Ok(RunningProxy { terminate, driver, phase, accept_loop })
+    let listener = Listener::new(Rc::clone(&driver), &config.site, phase_receiver);
+    let accept_loop = spawn_local(listener.run(tcp_listener, config.max_client_connections()));
+    spawn_local(reload_on_sighup(sighup, Rc::clone(&driver)));
+    Ok(RunningProxy { sigterm, driver, phase, accept_loop })
 }
 
-/// Logs what the author of the settings has to know of.
-fn log_warnings(site: &Site) {
+/// Logs the warnings about the settings that their author should know about.
+fn log_settings_warnings(site: &Site) {
     for warning in &site.warnings {
         tracing::warn!("settings: {warning}");
     }
@@ -137,12 +140,12 @@
     Driver::start(balancer, upstreams, discovery, cached_endpoints, settings.starts_watches, metrics)
 }
 
-/// Binds a socket that does not listen yet; retries while the address is occupied.
+/// Returns a socket that is bound to the address but does not listen yet. Retries if binding fails.
 async fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     for _ in 1..BIND_ATTEMPTS {
         match try_bind(address) {
             Ok(socket) => return Ok(socket),
-            Err(error) => tracing::warn!(%address, %error, "bind failed"),
+            Err(error) => tracing::warn!(%address, %error, "cannot bind the listening address; retrying"),
         }
         sleep(BIND_RETRY_INTERVAL).await;
     }
@@ -156,11 +159,11 @@
     Ok(socket)
 }
 
-/// Waits for discovery's first complete message, as long as something arrives. Not used where the balancer
-/// decides when a watch is begun (`Settings::starts_watches`): discovery may be overloaded there by all
-/// processes that start at the same time.
+/// Waits for the first complete message from discovery, as long as its bytes keep arriving. Not called if the
+/// balancer decides when to start a watch (`Settings::starts_watches`), because discovery may then be
+/// overloaded by all the processes that start at the same time.
 async fn wait_for_first_list(driver: &Driver) {
-    let mut progress = driver.discovery_progress();
+    let mut progress = driver.first_list_progress();
     let first_list = async {
         loop {
             match timeout(FIRST_LIST_SILENCE_TIMEOUT, progress.changed()).await {
@@ -171,6 +174,6 @@
         }
     };
     if timeout(FIRST_LIST_TIMEOUT, first_list).await != Ok(true) {
-        tracing::warn!("no endpoint list from discovery in time, serving the cached one");
+        tracing::warn!("no endpoint list arrived from discovery in time; serving with the cached list");
     }
 }
--- a/crates/proxy/src/upstream/checkout.rs
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -1,6 +1,6 @@
 //! Checks connections out of the pool, or opens new ones, and checks them in again after use.
 
-use crate::deadline::earlier_of;
+use crate::deadline::earlier_deadline;
 use crate::upstream::connection::Connection;
 use crate::upstream::set::{Upstream, Upstreams};
 use balancer_core::{Outcome, UpstreamId};
@@ -35,7 +35,7 @@
         deadline: Instant,
     ) -> Result<CheckedOut, Outcome> {
         let started_at_unix_ms = upstream.started_at_unix_ms.get();
-        let connect_deadline = earlier_of(deadline, Instant::now(), self.connect_timeout);
+        let connect_deadline = earlier_deadline(deadline, Instant::now(), self.connect_timeout);
         let slot = loop {
             if let Some(connection) = self.take_usable(id).await {
                 return Ok(CheckedOut { connection, reused: true, started_at_unix_ms });
