--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -42,7 +42,7 @@
     pub limits: Limits,
     /// The cached endpoint list in the JSON format of discovery; empty if there is none.
     pub cached_endpoints: String,
-    /// The balancer's settings, with the names of classes and tenants.
+    /// The balancer's settings, the names that they define, and the warnings about them.
     pub site: Site,
 }
 
@@ -111,7 +111,7 @@
 pub struct Limits {
     /// CPU cores, possibly a fraction. The value is only logged.
     pub cores: f64,
-    /// Memory in MiB.
+    /// Memory in MiB. Limits the size of buffered responses.
     pub memory_mb: u64,
     /// File descriptors. The proxy uses at most [`MAX_DESCRIPTORS`].
     pub sockets: usize,
--- a/crates/proxy/src/driver/event_queue.rs
+++ b/crates/proxy/src/driver/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events that the driver has still to handle.
+//! The queue of events that the driver has yet to handle.
 
 #[cfg(test)]
 mod tests;
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -16,7 +16,7 @@
     pub(super) sent_at: Instant,
     /// The task that sends it and waits for the response.
     pub(super) task: AbortHandle,
-    /// `true` until the balancer has been notified of its end.
+    /// `true` until the balancer has been notified of the attempt's end.
     pub(super) is_in_flight: bool,
 }
 
@@ -41,7 +41,7 @@
         self.abandonment_guard.subscribe()
     }
 
-    /// Sends the final response.
+    /// Sends the final response to the waiting client.
     pub(super) fn send(self, response: FinalResponse) {
         // Fails if the client has just disconnected. Nobody waits for the response in this case.
         let _ = self.response.send(response);
@@ -80,7 +80,7 @@
     }
 }
 
-/// All requests in flight.
+/// The requests in flight, by id.
 #[derive(Default)]
 pub(super) struct InFlightRequests {
     requests: FxHashMap<RequestId, InFlightRequest>,
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -290,7 +290,8 @@
     }
 }
 
-/// A stall in the middle of a list counts as silence, just as one between two lists does.
+/// A stall in the middle of a list counts as silence, just as one between two lists does. A list whose mean
+/// rate is too low is given up as well.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn a_long_list_that_stalls_or_arrives_too_slowly_is_given_up_in_time() {
     let (driver, discovery) = watching_driver().await;
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -11,8 +11,8 @@
 
 /// The shortest lame duck phase, unless the deadlines are so short that the process has to end earlier. After
 /// SIGTERM the platform goes on assigning new connections to this balancer for up to 0.4 s, and clients keep
-/// using their open connections. Meanwhile, another balancer, which may itself have just started, needs time
-/// to become ready for both.
+/// using their open connections. Meanwhile, the balancer that takes over, which may itself have just started,
+/// needs time to become ready.
 const MIN_LAME_DUCK: Duration = Duration::from_millis(600);
 /// The longest lame duck phase.
 const MAX_LAME_DUCK: Duration = Duration::from_millis(1200);
@@ -38,12 +38,12 @@
     /// Returns the budget for the longest deadline of any request class.
     fn new(longest_deadline: Duration) -> Self {
         let longest_deadline = longest_deadline.min(MAX_COUNTED_DEADLINE);
-        let before_abort = longest_deadline + SHUTDOWN_AFTER_DEADLINE - ABORT_GRACE_PERIOD;
+        let time_before_abort = longest_deadline + SHUTDOWN_AFTER_DEADLINE - ABORT_GRACE_PERIOD;
         let lame_duck = longest_deadline
             .mul_f64(LAME_DUCK_DEADLINE_FRACTION)
             .clamp(MIN_LAME_DUCK, MAX_LAME_DUCK)
-            .min(before_abort);
-        let drain = before_abort - lame_duck;
+            .min(time_before_abort);
+        let drain = time_before_abort - lame_duck;
         Self { lame_duck, drain }
     }
 }
--- a/crates/proxy/src/lifecycle_phase.rs
+++ b/crates/proxy/src/lifecycle_phase.rs
@@ -1,14 +1,15 @@
-//! The phases of the process's life, which the downstream side follows.
+//! The lifecycle phases of the process. They tell the downstream side whether to report readiness and which
+//! connections to accept and keep.
 
 /// The current phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecyclePhase {
-    /// Reports that it is ready, accepts connections and serves requests.
+    /// The process reports that it is ready, accepts connections and serves requests.
     Serving,
-    /// Reports that it is not ready, but still accepts connections and serves requests on them, because the
-    /// balancer that replaces it may have only just started.
+    /// The process reports that it is not ready, but still accepts connections and serves requests, because
+    /// the balancer that replaces it may have only just started.
     LameDuck,
-    /// Accepts only the connections that already wait in the backlog, and closes open connections between two
-    /// requests.
+    /// The process accepts only the connections that already wait in the backlog, and closes open connections
+    /// between two requests.
     Draining,
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -93,7 +93,7 @@
     registry: Registry,
     responses: Family<ResponseLabels, Counter>,
     attempts: Family<AttemptLabels, Counter>,
-    /// Requests handed to the balancer.
+    /// Requests submitted to the balancer.
     pub requests: Counter,
     /// Attempts other than the first one of their request.
     pub retries_and_hedges: Counter,
