--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection, its timeouts and its priority for eviction.
+//! The state of a client connection, from which its timeouts and its eviction priority follow.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,75 +8,83 @@
 #[cfg(test)]
 mod tests;
 
-/// Time for a complete request, from the accepted connection or from a later request's first byte.
+/// Time in which a request has to be complete. It counts from the acceptance of the connection or, for later
+/// requests, from the first byte of the request.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Added to [`READ_TIMEOUT`] once a head has arrived, so that the client gets the 408 before the connection
-/// ends.
+/// Added to [`READ_TIMEOUT`] once a head has arrived, so that the client gets the response 408 before the
+/// connection is closed.
 const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(250);
-/// How long a connection may stay open between two requests.
+/// How long a connection may stay idle between two requests before it is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How often the timeouts are checked. A new connection is checked at its timeout only.
+/// Interval at which the timeouts are checked. A new connection is checked only when its timeout expires.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A request that is incomplete for longer than this, counted as for [`READ_TIMEOUT`], is stalled.
+/// A request that is still incomplete after this time is stalled. The time counts like [`READ_TIMEOUT`].
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
-/// A connection that is idle for longer than this is evicted before one that has just begun a request.
+/// A connection that has been idle for longer than this is evicted before one that has recently begun a
+/// request.
 const LONG_IDLE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// What a connection is doing.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
     /// No valid request has arrived yet.
     New,
-    /// The head of a request has arrived, the rest of it has not.
+    /// The head of a request has arrived, and its body is being read.
     Reading,
-    /// A complete request waits for its response.
+    /// A complete and valid request awaits its response.
     AwaitingResponse,
-    /// The response to the last request was handed to the connection.
+    /// The response to the last request is ready, and the head of the next one has not arrived.
     Idle,
 }
 
-/// Orders connections by how little is lost with them; the smallest is evicted first.
+/// Orders connections by how much is lost if they are closed. The one with the smallest value is evicted
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionPriority {
     rank: EvictionRank,
-    /// When the connection was accepted, began its request or fell idle.
+    /// When the connection was accepted, began its request or became idle. Within a rank, the connection with
+    /// the earliest time is evicted first.
     since: Instant,
 }
 
-/// What a connection is doing, in the order of eviction.
+/// The classes of connections that may be evicted, in the order of their eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// No complete request in [`STALL_THRESHOLD`].
+    /// The connection was accepted, or its request began, more than [`STALL_THRESHOLD`] ago, and no complete
+    /// request has arrived since.
     Stalled,
-    /// Nothing received in [`LONG_IDLE_THRESHOLD`] since the last response.
+    /// The connection has been idle for longer than [`LONG_IDLE_THRESHOLD`] since its last response.
     LongIdle,
-    /// Accepted, or began a request, within [`STALL_THRESHOLD`].
+    /// The connection was accepted, or its request began, at most [`STALL_THRESHOLD`] ago, and no complete
+    /// request has arrived since.
     Reading,
-    /// Between two requests for at most [`LONG_IDLE_THRESHOLD`].
+    /// The connection has been idle for at most [`LONG_IDLE_THRESHOLD`] since its last response.
     RecentlyIdle,
 }
 
-/// One client connection.
+/// The state of one client connection, shared by its socket, its requests and the listener.
 pub struct Client {
     state: Cell<ClientState>,
-    /// Whether a valid request has ever arrived.
-    has_sent_valid_request: Cell<bool>,
-    /// When the connection was accepted; from the first valid request on, when the last response was ready.
+    /// Whether a valid request has been answered on this connection.
+    has_answered_valid_request: Cell<bool>,
+    /// When the last response was ready or, until the first valid request has been answered, when the
+    /// connection was accepted.
     last_active_at: Cell<Instant>,
-    /// When the request that is being read began.
+    /// When the request that is being read began; `None` if no byte of it has arrived. Not set while the
+    /// connection is new.
     request_started_at: Cell<Option<Instant>>,
-    /// Whether the last request has a response that may not have been written yet.
+    /// Whether the response to the last request is ready. It may not have been written yet.
     has_response: Cell<bool>,
     is_evicted: Cell<bool>,
     eviction: Notify,
 }
 
 impl Client {
-    /// A connection that has just been accepted.
+    /// Returns the state of a connection that has just been accepted.
     pub fn new() -> Self {
         Self {
             state: Cell::new(ClientState::New),
-            has_sent_valid_request: Cell::new(false),
+            has_answered_valid_request: Cell::new(false),
             last_active_at: Cell::new(Instant::now()),
             request_started_at: Cell::new(None),
             has_response: Cell::new(false),
@@ -85,20 +93,21 @@
         }
     }
 
-    /// What the connection is doing.
+    /// Returns the current state.
     pub fn state(&self) -> ClientState {
         self.state.get()
     }
 
-    /// Notes that bytes have arrived.
-    pub fn bytes_received(&self) {
+    /// Records that bytes have arrived.
+    pub fn on_bytes_received(&self) {
         if self.state.get() == ClientState::Idle && self.request_started_at.get().is_none() {
             self.request_started_at.set(Some(Instant::now()));
         }
     }
 
-    /// Notes that the head of a request has arrived. Returns when the request has to be complete.
-    pub fn head_received(&self) -> Instant {
+    /// Records that the head of a request has arrived. Returns the deadline by which the request has to be
+    /// complete.
+    pub fn on_head_received(&self) -> Instant {
         self.has_response.set(false);
         let first_byte_at = self.request_started_at.take().unwrap_or_else(Instant::now);
         let previous_state = self.state.replace(ClientState::Reading);
@@ -108,21 +117,21 @@
         started_at + READ_TIMEOUT
     }
 
-    /// Notes that a request is complete and valid.
-    pub fn request_received(&self) {
+    /// Records that a request is complete and valid.
+    pub fn on_request_received(&self) {
         self.request_started_at.set(None);
         self.state.set(ClientState::AwaitingResponse);
     }
 
-    /// Notes that the response is ready to be written. A client that has only sent invalid requests stays
-    /// new: its time for the first valid one goes on.
-    pub fn response_ready(&self) {
+    /// Records that the response to the last request is ready to be written. A connection on which only
+    /// invalid requests have arrived remains new, and its timeout for the first valid one keeps running.
+    pub fn on_response_ready(&self) {
         self.has_response.set(true);
         self.request_started_at.set(None);
         if self.state.get() == ClientState::AwaitingResponse {
-            self.has_sent_valid_request.set(true);
+            self.has_answered_valid_request.set(true);
         }
-        if self.has_sent_valid_request.get() {
+        if self.has_answered_valid_request.get() {
             self.state.set(ClientState::Idle);
             self.last_active_at.set(Instant::now());
         } else {
@@ -130,26 +139,27 @@
         }
     }
 
-    /// Whether the last request whose head has arrived has a response. It may not have been written yet.
+    /// Returns whether the response to the last request whose head has arrived is ready. It may not have been
+    /// written yet.
     pub fn has_response(&self) -> bool {
         self.has_response.get()
     }
 
-    /// Waits until the connection is evicted or has timed out.
-    pub async fn wait_until_must_close(&self) {
+    /// Waits until the connection is evicted or times out.
+    pub async fn evicted_or_timed_out(&self) {
         tokio::select! {
             () = self.eviction.notified() => (),
             () = self.timed_out() => (),
         }
     }
 
-    /// Has the connection close, to make room for another one.
+    /// Causes the connection to be closed, to free its slot for another one.
     pub fn evict(&self) {
         self.is_evicted.set(true);
         self.eviction.notify_one();
     }
 
-    /// The connection's priority for eviction; `None` if it must not be evicted, or already is.
+    /// Returns the connection's eviction priority, or `None` if it must not be evicted or already is.
     pub fn eviction_priority(&self, now: Instant) -> Option<EvictionPriority> {
         if self.is_evicted.get() {
             return None;
@@ -172,7 +182,8 @@
         Some(EvictionPriority { rank, since })
     }
 
-    /// When the connection times out in its present state; `None` if it waits for this balancer.
+    /// Returns when the connection times out if its state does not change, or `None` if the client waits for
+    /// the proxy.
     fn timeout_at(&self) -> Option<Instant> {
         match (self.state.get(), self.request_started_at.get()) {
             (ClientState::New, _) => Some(self.last_active_at.get() + READ_TIMEOUT),
@@ -185,6 +196,7 @@
         }
     }
 
+    /// Waits until the connection times out.
     async fn timed_out(&self) {
         loop {
             let now = Instant::now();
@@ -192,7 +204,7 @@
             if timeout_at.is_some_and(|timeout_at| timeout_at <= now) {
                 return;
             }
-            // A request may begin at any time, and changes the timeout.
+            // A request may begin at any time and change the timeout, so each check computes it anew.
             let next_check = now + TIMEOUT_CHECK_INTERVAL;
             let wake_at = match timeout_at {
                 Some(timeout_at) if self.state.get() == ClientState::New => timeout_at,
--- a/crates/proxy/src/downstream/client/tests.rs
+++ b/crates/proxy/src/downstream/client/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
 use tokio::time::advance;
 
-const MOMENT: Duration = Duration::from_millis(1);
+const ONE_MILLISECOND: Duration = Duration::from_millis(1);
 
-/// A client that has got the response to a valid request.
+/// Returns a client that has received the response to a valid request.
 fn idle_client() -> Client {
     let client = Client::new();
-    client.head_received();
-    client.request_received();
-    client.response_ready();
+    client.on_head_received();
+    client.on_request_received();
+    client.on_response_ready();
     client
 }
 
-/// A regular client whose next request has begun.
+/// Returns a client that has received a response and has begun to send its next request.
 fn client_with_started_request() -> Client {
     let client = idle_client();
-    client.bytes_received();
+    client.on_bytes_received();
     client
 }
 
-/// How long the client may go on doing what it does.
+/// Returns how long the connection stays open if nothing more arrives.
 async fn time_until_closed(client: &Client) -> Duration {
     let start = Instant::now();
-    client.wait_until_must_close().await;
+    client.evicted_or_timed_out().await;
     start.elapsed()
 }
 
@@ -39,8 +39,8 @@
 async fn an_invalid_request_does_not_extend_the_timeout_of_a_new_connection() {
     let client = Client::new();
     advance(Duration::from_millis(500)).await;
-    client.head_received();
-    client.response_ready();
+    client.on_head_received();
+    client.on_response_ready();
 
     assert_eq!(client.state(), ClientState::New);
     assert_eq!(time_until_closed(&client).await, READ_TIMEOUT - Duration::from_millis(500));
@@ -50,19 +50,19 @@
 async fn an_incomplete_head_times_out_from_its_first_byte() {
     let client = idle_client();
     advance(Duration::from_millis(1500)).await;
-    client.bytes_received();
+    client.on_bytes_received();
 
     assert_eq!(time_until_closed(&client).await, READ_TIMEOUT);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_incomplete_body_leaves_time_for_the_response() {
+async fn a_timeout_of_the_body_leaves_time_to_write_the_response() {
     let client = client_with_started_request();
     advance(Duration::from_millis(300)).await;
-    let read_deadline = client.head_received();
+    let read_deadline = client.on_head_received();
 
     assert_eq!(read_deadline - Instant::now(), READ_TIMEOUT - Duration::from_millis(300));
-    client.wait_until_must_close().await;
+    client.evicted_or_timed_out().await;
     assert_eq!(Instant::now() - read_deadline, TIMEOUT_RESPONSE_GRACE);
 }
 
@@ -72,30 +72,30 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_awaits_its_response_does_not_time_out() {
+async fn a_connection_that_awaits_its_response_is_not_closed() {
     let client = Client::new();
-    client.head_received();
-    client.request_received();
+    client.on_head_received();
+    client.on_request_received();
 
-    let closed = tokio::time::timeout(Duration::from_secs(60), client.wait_until_must_close()).await;
+    let closed = tokio::time::timeout(Duration::from_secs(60), client.evicted_or_timed_out()).await;
 
     assert!(closed.is_err());
-    assert_eq!(rank(&client), None, "nor is it evicted");
+    assert_eq!(rank(&client), None, "a waiting connection is not evicted");
 }
 
 #[tokio::test(start_paused = true)]
 async fn stalled_connections_are_evicted_before_long_idle_and_active_ones() {
     let stalled_new = Client::new();
     let long_idle = idle_client();
-    advance(LONG_IDLE_THRESHOLD + MOMENT).await;
+    advance(LONG_IDLE_THRESHOLD + ONE_MILLISECOND).await;
     let stalled_request = client_with_started_request();
-    advance(STALL_THRESHOLD + MOMENT).await;
+    advance(STALL_THRESHOLD + ONE_MILLISECOND).await;
     let reading = client_with_started_request();
     let recently_idle = idle_client();
 
     let now = Instant::now();
     let in_order = [&stalled_new, &stalled_request, &long_idle, &reading, &recently_idle];
-    let priorities = in_order.map(|client| client.eviction_priority(now).expect("it may be evicted"));
+    let priorities = in_order.map(|client| client.eviction_priority(now).expect("it can be evicted"));
     assert!(priorities.is_sorted(), "{priorities:?}");
     let ranks = priorities.map(|priority| priority.rank);
     assert_eq!(
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -1,4 +1,4 @@
-//! The byte stream of a client connection: what arrives is watched on its way to hyper.
+//! The byte stream of a client connection. Received bytes are inspected before they are passed to hyper.
 
 use crate::downstream::client::{Client, ClientState};
 use crate::downstream::content_length::ContentLengthCounter;
@@ -18,25 +18,26 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// How often the end of a connection is looked for while its bytes must not be read ahead. Short, because
-/// attempts must stop within 0.1 s of a client's disconnect.
+/// Interval at which a connection is checked for a disconnect while no bytes are read ahead from it. It is
+/// short because attempts must stop within 0.1 s of a client's disconnect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// Reading ahead of a response stops once this much is buffered: as much as the longest request body.
+/// No more bytes are read ahead once this many are buffered. Equals the longest request body.
 const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_BODY_BYTES;
-/// Bytes read ahead in one call.
+/// The most bytes that one call reads ahead.
 const READ_AHEAD_CHUNK_BYTES: usize = 4096;
 
-/// A client's socket, the bytes read ahead from it and the count of its length headers.
+/// A client's socket, with the bytes that were read ahead from it and the count of its `Content-Length`
+/// headers.
 pub struct ClientSocket {
     stream: TcpStream,
     client: Rc<Client>,
     content_lengths: RefCell<ContentLengthCounter>,
-    /// What has arrived behind the current request and was not read by hyper yet.
+    /// Bytes after the current request that were read from the socket and that hyper has not read yet.
     read_ahead: RefCell<BytesMut>,
 }
 
 impl ClientSocket {
-    /// The socket of this client.
+    /// Returns the socket of the connection whose state is `client`.
     pub fn new(stream: TcpStream, client: Rc<Client>) -> Self {
         Self {
             stream,
@@ -46,16 +47,16 @@
         }
     }
 
-    /// Whether a head states its length in two ways. hyper shows `Transfer-Encoding` only. Has to be called
-    /// once for each head.
+    /// Returns whether a head was received with both `Content-Length` and `Transfer-Encoding`. hyper removes
+    /// `Content-Length` from the headers of such a head. Has to be called once for each head.
     pub fn has_conflicting_lengths(&self, headers: &HeaderMap) -> bool {
-        let visible = headers.get_all(CONTENT_LENGTH).iter().count();
-        let has_hidden_length = self.content_lengths.borrow_mut().has_hidden_header(visible);
+        let visible_headers = headers.get_all(CONTENT_LENGTH).iter().count();
+        let has_hidden_length = self.content_lengths.borrow_mut().has_hidden_header(visible_headers);
         has_hidden_length && headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Waits until a client has closed its connection before it got its response. hyper does not look for
-    /// that while bytes follow the request, so they are read ahead here.
+    /// Waits until the client closes its connection while it awaits a response. hyper does not notice that if
+    /// bytes follow the request, so they are read ahead here.
     pub async fn disconnected(&self) {
         let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
@@ -63,7 +64,7 @@
             let is_awaiting_response = self.client.state() == ClientState::AwaitingResponse;
             let has_capacity = self.read_ahead.borrow().len() < MAX_READ_AHEAD_BYTES;
             if is_awaiting_response && has_capacity {
-                if self.read_ahead(&mut chunk) == StreamState::Closed {
+                if self.try_read_ahead(&mut chunk) == StreamState::Closed {
                     return;
                 }
             } else if is_awaiting_response && ready.is_read_closed() {
@@ -75,7 +76,8 @@
         }
     }
 
-    fn read_ahead(&self, chunk: &mut [u8]) -> StreamState {
+    /// Moves received bytes to the read-ahead buffer, at most as many as `chunk` holds.
+    fn try_read_ahead(&self, chunk: &mut [u8]) -> StreamState {
         match self.stream.try_read(chunk) {
             Ok(0) => StreamState::Closed,
             Ok(length) => {
@@ -87,24 +89,24 @@
         }
     }
 
-    /// Watches the bytes that hyper is about to read.
-    fn bytes_received(&self, bytes: &[u8]) {
+    /// Inspects bytes that are passed to hyper.
+    fn on_bytes_received(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
-        self.client.bytes_received();
+        self.client.on_bytes_received();
         self.content_lengths.borrow_mut().scan(bytes);
     }
 }
 
-/// Whether more bytes may arrive.
+/// Whether more bytes may arrive on a connection.
 #[derive(PartialEq, Eq)]
 enum StreamState {
     Open,
     Closed,
 }
 
-/// A client's socket as hyper reads and writes it.
+/// The stream through which hyper reads from and writes to a client's socket.
 pub struct ClientStream(pub Rc<ClientSocket>);
 
 impl AsyncRead for ClientStream {
@@ -115,12 +117,12 @@
             let length = read_ahead.len().min(buf.remaining());
             let bytes = read_ahead.split_to(length);
             buf.put_slice(&bytes);
-            socket.bytes_received(&bytes);
+            socket.on_bytes_received(&bytes);
             return Poll::Ready(Ok(()));
         }
         let length = ready!(socket_io::poll_read(&socket.stream, cx, buf))?;
         let filled = buf.filled();
-        socket.bytes_received(&filled[filled.len() - length..]);
+        socket.on_bytes_received(&filled[filled.len() - length..]);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection until it ends, is evicted, times out or is drained.
+//! Serves a client connection until the client closes it, it fails, is evicted, times out or is drained.
 
 use crate::downstream::client::{Client, ClientState};
 use crate::downstream::client_stream::{ClientSocket, ClientStream};
@@ -25,25 +25,25 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a connection that closes may take to write its last response. Checked every
-/// [`CLOSE_CHECK_INTERVAL`].
+/// How long a closing connection may take to write its last response. Checked every [`CLOSE_CHECK_INTERVAL`].
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Size of a connection's buffer. hyper responds to a head that does not fit with 431; what fits may be up
-/// to one read longer. [`RequestValidator`](crate::downstream::request::RequestValidator) has the exact limit.
+/// Limit of a connection's read buffer. hyper responds with 431 to a head that does not fit, but a head may
+/// exceed the limit by up to one read.
+/// [`RequestValidator`](crate::downstream::request::RequestValidator) enforces the exact limit.
 const MAX_BUFFER_BYTES: usize = 2 * MAX_REQUEST_HEAD_BYTES;
 
 type HttpConnection<S> = http1::Connection<TokioIo<ClientStream>, S>;
 
-/// Serves the requests on a connection; returns when it has ended. Once the process drains, the connection
-/// ends after the response that it waits for, or at once between two requests.
+/// Serves the requests on a connection and returns when the connection has ended. When the process drains,
+/// the connection ends after the response that it awaits, or at once if it is between two requests.
 pub async fn serve_connection(
     stream: TcpStream,
     client: &Rc<Client>,
     handler: Rc<RequestHandler>,
     mut phase: watch::Receiver<LifecyclePhase>,
 ) {
-    // Without the option responses are later, but correct.
+    // A failure is ignored, because it only delays responses.
     let _ = stream.set_nodelay(true);
     let socket = Rc::new(ClientSocket::new(stream, Rc::clone(client)));
     let service_client = Rc::clone(client);
@@ -55,37 +55,37 @@
         async move { Ok::<_, Infallible>(handler.handle(&client, &socket, request).await) }
     });
     let mut builder = http1::Builder::new();
-    // `Client` has the timeout for the head.
+    // `Client` implements the timeout of the head.
     builder.header_read_timeout(None).max_buf_size(MAX_BUFFER_BYTES);
     let stream = TokioIo::new(ClientStream(Rc::clone(&socket)));
     let mut connection = pin!(builder.serve_connection(stream, service));
-    let served = async {
+    let serving = async {
         tokio::select! {
-            ended = connection.as_mut() => ended,
-            () = client.wait_until_must_close() => close(client, connection.as_mut()).await,
+            result = connection.as_mut() => result,
+            () = client.evicted_or_timed_out() => close(client, connection.as_mut()).await,
             _ = phase.wait_for(|phase| *phase == LifecyclePhase::Draining) => {
                 drain(client, connection.as_mut()).await
             }
         }
     };
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = served => ended,
+        result = serving => result,
         () = socket.disconnected() => Ok(()),
     };
-    if let Err(error) = ended {
-        tracing::debug!(%error, "client connection failed");
+    if let Err(error) = result {
+        tracing::debug!(%error, "client connection ended with an error");
     }
 }
 
-/// Closes a connection that was evicted or has timed out. A request of which only a part has arrived is
-/// dropped: nothing of it was forwarded.
+/// Closes a connection that was evicted or has timed out. An incomplete request is dropped, which is safe
+/// because no part of it was forwarded.
 async fn close<S>(client: &Client, mut connection: Pin<&mut HttpConnection<S>>) -> hyper::Result<()>
 where
     S: Service<Request<Incoming>, Response = ClientResponse, Error = Infallible>,
 {
-    if let Poll::Ready(ended) = process_received_bytes(connection.as_mut()).await {
-        return ended;
+    if let Poll::Ready(result) = process_received_bytes(connection.as_mut()).await {
+        return result;
     }
     match client.state() {
         ClientState::New | ClientState::Reading => Ok(()),
@@ -99,11 +99,12 @@
     S: Service<Request<Incoming>, Response = ClientResponse, Error = Infallible>,
 {
     match process_received_bytes(connection.as_mut()).await {
-        Poll::Ready(ended) => ended,
+        Poll::Ready(result) => result,
         Poll::Pending => finish_gracefully(client, connection).await,
     }
 }
 
+/// Closes a connection after the response that it awaits or that is being written.
 async fn finish_gracefully<S>(
     client: &Client,
     mut connection: Pin<&mut HttpConnection<S>>,
@@ -115,32 +116,33 @@
     wait_for_last_response(client, connection).await
 }
 
-/// Polls a connection that is about to close once more: a complete request that the kernel has already
-/// received and acknowledged would be lost otherwise.
+/// Polls a connection once more before it is closed. Otherwise a complete request that the kernel has already
+/// received and acknowledged would be lost.
 async fn process_received_bytes(
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
 ) -> Poll<hyper::Result<()>> {
-    // Has the runtime ask the kernel for received bytes.
+    // Lets the runtime ask the kernel which sockets have received bytes.
     yield_now().await;
     poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx))).await
 }
 
-/// Waits for the response that a closing connection still waits for, or that a client reads slowly. Between
-/// two requests such a connection ends at once.
+/// Waits until a closing connection has ended, which it does after the response that it awaits or writes, and
+/// at once if it is between two requests. Does not wait for the rest of an incomplete request, and waits at
+/// most [`RESPONSE_WRITE_TIMEOUT`] until a response that is ready has been written.
 async fn wait_for_last_response(
     client: &Client,
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
 ) -> hyper::Result<()> {
     let mut response_ready_at = None;
     loop {
-        if let Ok(ended) = timeout(CLOSE_CHECK_INTERVAL, connection.as_mut()).await {
-            return ended;
+        if let Ok(result) = timeout(CLOSE_CHECK_INTERVAL, connection.as_mut()).await {
+            return result;
         }
         match client.state() {
             ClientState::AwaitingResponse => {}
-            // Nothing of an incomplete request was forwarded.
+            // The request is incomplete and can be dropped, because no part of it was forwarded.
             ClientState::New | ClientState::Reading if !client.has_response() => return Ok(()),
-            // The client reads slowly; an invalid request leaves its connection new.
+            // The client reads the response slowly. After an invalid request its connection is still new.
             ClientState::New | ClientState::Reading | ClientState::Idle => {
                 if response_ready_at.get_or_insert_with(Instant::now).elapsed() > RESPONSE_WRITE_TIMEOUT {
                     return Ok(());
--- a/crates/proxy/src/downstream/content_length.rs
+++ b/crates/proxy/src/downstream/content_length.rs
@@ -1,4 +1,4 @@
-//! Counts the `Content-Length` headers that hyper does not show.
+//! Detects `Content-Length` headers that hyper has removed from a request head.
 
 #[cfg(test)]
 mod tests;
@@ -6,35 +6,37 @@
 /// The name of the header, in lower case.
 const HEADER_NAME: &[u8] = b"content-length";
 
-/// Where the next byte stands in its line.
+/// The position of the next byte within its line.
 #[derive(Clone, Copy)]
 enum LinePosition {
-    /// All bytes of the line so far are the first ones of the header's name.
+    /// The line so far consists of the first `matched` bytes of the header's name.
     InName { matched: usize },
-    /// The rest of the line does not matter.
+    /// The rest of the line is skipped: its beginning either matched the whole name or differs from it.
     AfterName,
 }
 
 const LINE_START: LinePosition = LinePosition::InName { matched: 0 };
 
-/// Counts the lines of a client's bytes that begin with `content-length`, in any case.
+/// Counts the lines received from a client that begin with `content-length`, in upper or lower case.
 ///
-/// hyper drops `Content-Length` where a head has `Transfer-Encoding`, too, in either order. The difference
-/// between the lines that arrived and the headers that hyper has shown tells whether it did. Lines of a body
-/// that look alike count as well, so that in doubt a head is taken for one with a hidden length.
+/// hyper removes `Content-Length` from a head that also has `Transfer-Encoding`, in either order. It has done
+/// so if more of these lines were received than hyper has passed on as headers. Lines of a request body that
+/// begin with `content-length` are counted as well, so in doubt a hidden header is reported.
 pub struct ContentLengthCounter {
     position: LinePosition,
-    lines: u64,
-    visible: u64,
+    /// Lines received that begin with the name.
+    matching_lines: u64,
+    /// `Content-Length` headers in the heads from hyper.
+    visible_headers: u64,
 }
 
 impl ContentLengthCounter {
-    /// A counter at the start of a connection.
+    /// Returns a counter for a new connection.
     pub fn new() -> Self {
-        Self { position: LINE_START, lines: 0, visible: 0 }
+        Self { position: LINE_START, matching_lines: 0, visible_headers: 0 }
     }
 
-    /// Counts the lines in the next bytes of the connection, which may be cut anywhere.
+    /// Counts the matching lines in the next bytes of the connection. Calls may split the bytes anywhere.
     pub fn scan(&mut self, mut bytes: &[u8]) {
         while let Some(byte) = bytes.first() {
             if self.continues_name(*byte) {
@@ -46,13 +48,15 @@
         }
     }
 
-    /// Whether more lines have arrived than hyper has shown headers. `visible`: the number of headers in the
-    /// current head; has to be called once for each head.
-    pub fn has_hidden_header(&mut self, visible: usize) -> bool {
-        self.visible += visible as u64;
-        self.lines > self.visible
+    /// Returns whether a `Content-Length` header was received that is not in the heads from hyper.
+    /// `visible_headers` is the number of these headers in the current head. Has to be called once for each
+    /// head.
+    pub fn has_hidden_header(&mut self, visible_headers: usize) -> bool {
+        self.visible_headers += visible_headers as u64;
+        self.matching_lines > self.visible_headers
     }
 
+    /// Returns whether the line, extended by `byte`, is still a prefix of the header's name.
     fn continues_name(&self, byte: u8) -> bool {
         match self.position {
             LinePosition::InName { matched } => HEADER_NAME[matched] == byte.to_ascii_lowercase(),
@@ -66,11 +70,11 @@
             self.position = LinePosition::InName { matched: matched + 1 };
         } else {
             self.position = LinePosition::AfterName;
-            self.lines += 1;
+            self.matching_lines += 1;
         }
     }
 
-    /// Returns what follows the current line.
+    /// Skips the rest of the current line and returns the bytes after it.
     fn skip_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         match bytes.iter().position(|byte| *byte == b'\n') {
             Some(end) => {
--- a/crates/proxy/src/downstream/correlation_ids.rs
+++ b/crates/proxy/src/downstream/correlation_ids.rs
@@ -8,24 +8,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Clients choose the ids, so the set uses the standard library's randomly keyed hasher.
+/// A set of correlation ids. Clients choose the ids and could provoke hash collisions, so the set uses the
+/// standard library's randomly keyed hasher.
 type IdSet = Rc<RefCell<HashSet<HeaderValue>>>;
 
-/// Keeps the ids of requests in flight distinct.
+/// The correlation ids of the requests in flight. No two of these requests may have the same id.
 #[derive(Default)]
 pub struct CorrelationIds {
     in_flight: IdSet,
 }
 
 impl CorrelationIds {
-    /// Reserves `id` until the reservation is dropped; `None` if another request holds it.
+    /// Reserves `id` until the returned reservation is dropped. Returns `None` if `id` is already reserved.
     pub fn reserve(&self, id: HeaderValue) -> Option<ReservedId> {
         let is_new = self.in_flight.borrow_mut().insert(id.clone());
         is_new.then(|| ReservedId { in_flight: Rc::clone(&self.in_flight), id })
     }
 }
 
-/// A reserved correlation id; released when dropped.
+/// The reservation of a correlation id, which ends when this value is dropped.
 pub struct ReservedId {
     in_flight: IdSet,
     id: HeaderValue,
--- a/crates/proxy/src/downstream/correlation_ids/tests.rs
+++ b/crates/proxy/src/downstream/correlation_ids/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_correlation_id_is_reserved_until_its_request_ends() {
+fn a_correlation_id_is_reserved_until_its_reservation_is_dropped() {
     let ids = CorrelationIds::default();
     let id = HeaderValue::from_static("9b1f");
 
--- a/crates/proxy/src/downstream/handler.rs
+++ b/crates/proxy/src/downstream/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request: a health check of this balancer, or a request for the driver.
+//! Handles requests: answers health checks of this proxy and submits valid requests to the driver.
 
 use crate::downstream::client::Client;
 use crate::downstream::client_stream::ClientSocket;
@@ -13,16 +13,16 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A health check of this balancer by its platform.
+/// A health check of this proxy by its platform.
 enum HealthCheck {
-    /// Whether new connections may be assigned to it.
+    /// Asks whether the platform may assign new connections to this proxy.
     Ready,
-    /// Whether the process works.
+    /// Asks whether the process is running.
     Live,
 }
 
 impl HealthCheck {
-    /// The health check that a request is, if any.
+    /// Returns the kind of health check, or `None` if the request is not a health check.
     fn from_request(request: &Request<Incoming>) -> Option<Self> {
         if !request.body().is_end_stream() {
             return None;
@@ -43,27 +43,29 @@
 }
 
 impl RequestHandler {
-    /// A handler that submits the requests of this site's classes to `driver`.
+    /// Returns a handler that validates requests against the settings of `site` and submits them to
+    /// `driver`.
     pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<LifecyclePhase>) -> Self {
         Self { driver, validator: RequestValidator::new(site), phase }
     }
 
-    /// Handles a request whose head has just arrived, and returns its response.
+    /// Handles a request whose head has just arrived and returns its response. `client` and `socket` belong
+    /// to the connection that the request arrived on.
     pub async fn handle(
         &self,
         client: &Client,
         socket: &ClientSocket,
         request: Request<Incoming>,
     ) -> ClientResponse {
-        let read_deadline = client.head_received();
+        let read_deadline = client.on_head_received();
         let response = match HealthCheck::from_request(&request) {
             Some(health_check) => {
-                client.request_received();
+                client.on_request_received();
                 self.answer_health_check(&health_check)
             }
             None => self.forward(client, socket, request, read_deadline).await.unwrap_or_else(render_error),
         };
-        client.response_ready();
+        client.on_response_ready();
         response
     }
 
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Submits a request to the driver and waits for the final response.
+    /// Reads a request, submits it to the driver and waits for the final response.
     async fn forward(
         &self,
         client: &Client,
@@ -83,14 +85,14 @@
         request: Request<Incoming>,
         read_deadline: Instant,
     ) -> Result<ClientResponse, RequestError> {
-        let request = self.read(socket, request, read_deadline).await?;
-        client.request_received();
-        let ValidRequest { incoming, correlation_id: _reserved } = request;
+        let request = self.read_request(socket, request, read_deadline).await?;
+        client.on_request_received();
+        let ValidRequest { incoming, correlation_id: _reserved_id } = request;
         Ok(render_response(self.driver.submit(incoming).response().await))
     }
 
     /// Reads and validates a request, its body included.
-    async fn read(
+    async fn read_request(
         &self,
         socket: &ClientSocket,
         request: Request<Incoming>,
@@ -101,6 +103,6 @@
             return Err(RequestError::ConflictingLengths);
         }
         let head = self.validator.validate_head(parts)?;
-        self.validator.complete(head, body, read_deadline).await
+        self.validator.validate_body(head, body, read_deadline).await
     }
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections within their limit, and evicts idle ones for those that wait.
+//! Accepts client connections up to a limit, and evicts idle or stalled ones to make room for new ones.
 
 use crate::downstream::client::Client;
 use crate::downstream::connection::serve_connection;
@@ -20,23 +20,25 @@
 #[cfg(test)]
 mod tests;
 
-/// How long an accepted connection waits for the evicted one to end before another is evicted.
+/// How long an accepted connection waits for a slot before another connection is evicted.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause after a failed accept: while no descriptors are left, each further one would fail at once.
+/// Pause after a failed accept. While the process has no file descriptors left, the next accept would fail at
+/// once.
 const ACCEPT_ERROR_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Accepts and serves clients.
+/// Accepts client connections and serves them.
 pub struct Listener {
     handler: Rc<RequestHandler>,
     phase: watch::Receiver<LifecyclePhase>,
-    /// The clients that are being served.
+    /// The states of the connections that are being served, by an id that is unique in this listener.
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
     next_client_id: Cell<u64>,
     log: RateLimitedLog,
 }
 
 impl Listener {
-    /// A listener that submits its clients' requests to `driver` and follows the phases of the process.
+    /// Returns a listener that submits its clients' requests to `driver` and follows the phases of the
+    /// process.
     pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<LifecyclePhase>) -> Rc<Self> {
         Rc::new(Self {
             handler: Rc::new(RequestHandler::new(driver, site, phase.clone())),
@@ -47,8 +49,8 @@
         })
     }
 
-    /// Accepts clients, at most `max_connections` at a time, until the process drains; returns when the last
-    /// of them has gone.
+    /// Accepts connections from `socket` until the process drains, and serves at most `max_connections` of
+    /// them at a time. Returns when the last connection has ended.
     pub async fn run(self: Rc<Self>, socket: TcpListener, max_connections: usize) {
         let slots = Arc::new(Semaphore::new(max_connections));
         let mut phase = self.phase.clone();
@@ -61,14 +63,14 @@
                     continue;
                 }
                 accepted = socket.accept() => accepted,
-                // Connections in the backlog are still accepted, as their requests may have arrived. This
-                // branch is reached when there are no more of them.
+                // A draining process still accepts the connections in the backlog, because their requests may
+                // have arrived. This branch is reached when the backlog is empty.
                 () = yield_now(), if is_draining => break,
             };
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    self.log.warn(|skipped| tracing::warn!(skipped, %error, "accept failed"));
+                    self.log.warn(|skipped| tracing::warn!(skipped, %error, "failed to accept a client"));
                     sleep(ACCEPT_ERROR_BACKOFF).await;
                     continue;
                 }
@@ -81,26 +83,28 @@
             });
         }
         drop(socket);
-        // All slots are free once the last client has gone; the semaphore is never closed.
+        // All slots are free once the last connection has ended. Acquiring them can't fail, because the
+        // semaphore is never closed.
         let _ = slots.acquire_many(max_connections as u32).await;
     }
 
-    /// Waits for a free slot. Evicts again and again: all clients may be busy now and idle later.
+    /// Waits for a free slot. Tries to evict a connection at each interval, because connections that must not
+    /// be evicted now may be idle later.
     async fn acquire_slot(&self, slots: &Arc<Semaphore>) -> OwnedSemaphorePermit {
         loop {
             if let Ok(slot) = Arc::clone(slots).try_acquire_owned() {
                 return slot;
             }
-            self.evict_idle_client();
+            self.evict_client();
             if let Ok(Ok(slot)) = timeout(EVICTION_RETRY_INTERVAL, Arc::clone(slots).acquire_owned()).await {
                 return slot;
             }
         }
     }
 
-    /// Closes the connection with the lowest
-    /// [`EvictionPriority`](crate::downstream::client::EvictionPriority), if any may be closed.
-    fn evict_idle_client(&self) {
+    /// Evicts the connection with the smallest
+    /// [`EvictionPriority`](crate::downstream::client::EvictionPriority), if any may be evicted.
+    fn evict_client(&self) {
         let now = Instant::now();
         let clients = self.clients.borrow();
         let candidates = clients.values().filter_map(|client| Some((client.eviction_priority(now)?, client)));
@@ -109,6 +113,7 @@
         }
     }
 
+    /// Serves an accepted connection until it has ended.
     async fn serve(&self, stream: TcpStream) {
         let id = self.next_client_id.replace(self.next_client_id.get() + 1);
         let client = Rc::new(Client::new());
--- a/crates/proxy/src/downstream/listener/tests.rs
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -11,12 +11,13 @@
 
 const LIVE_REQUEST: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// The upstream has not executed the request, so that it may be sent to another one.
-const UNPROCESSED_RESPONSE: &[u8] = b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+/// The response of an upstream that has not executed the request, which may therefore be retried on another
+/// upstream.
+const NOT_EXECUTED_RESPONSE: &[u8] = b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 const BALANCER_SEED: u64 = 7;
 const MAX_UPSTREAM_CONNECTIONS: usize = 8;
 
-/// A proxy in this process; to be changed before the start.
+/// The configuration of a proxy that runs in the test's process.
 struct TestProxy<'a> {
     settings: String,
     upstreams: &'a [TcpListener],
@@ -25,7 +26,7 @@
 }
 
 impl TestProxy<'static> {
-    /// One in its lame duck phase, without upstreams.
+    /// Returns a proxy in its lame duck phase, without upstreams.
     fn lame_duck() -> Self {
         let settings = r#"{"classes":[{"name":"look"}]}"#.to_owned();
         Self { settings, upstreams: &[], phase: LifecyclePhase::LameDuck, max_connections: 8 }
@@ -33,7 +34,7 @@
 }
 
 impl<'a> TestProxy<'a> {
-    /// One that forwards requests of one class to these upstreams and never cancels an attempt.
+    /// Returns a proxy that forwards requests of one class to `upstreams` and never cancels an attempt.
     fn serving(class: &str, retry_safety: &str, upstreams: &'a [TcpListener]) -> Self {
         let settings = format!(
             r#"{{"classes":[{{"name":"{class}","aim_ms":60000,"hard_limit_ms":60000,"effect":"{retry_safety}"}}],
@@ -62,7 +63,7 @@
     }
 }
 
-/// A list with an endpoint for each of these upstreams, in discovery's form.
+/// Returns an endpoint list with these upstreams, in discovery's format.
 fn endpoint_list(upstreams: &[TcpListener]) -> String {
     let entries = upstreams.iter().enumerate().map(|(index, upstream)| {
         let endpoint = upstream.local_addr().unwrap();
@@ -86,7 +87,8 @@
         self.phase.send_replace(LifecyclePhase::Draining);
     }
 
-    /// Connects and sends a request with these headers, and these bytes behind it.
+    /// Connects and sends a request line and headers. `rest` has further headers, the empty line after them
+    /// and all bytes that follow.
     async fn send(&self, request_line: &str, correlation_id: &str, rest: &str) -> TcpStream {
         let mut client = self.connect().await;
         let request = format!(
@@ -102,17 +104,17 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// Reads what arrives next, as text.
+/// Reads the bytes that arrive next and returns them as text.
 async fn read_text(stream: &mut TcpStream) -> String {
     let mut bytes = [0; 1024];
     let length = stream.read(&mut bytes).await.unwrap();
     String::from_utf8_lossy(&bytes[..length]).into_owned()
 }
 
-/// The balancer that takes over may not be ready yet, so a connection in use stays usable in the lame duck
+/// The proxy that replaces this one may not be ready yet, so connections must stay usable in the lame duck
 /// phase.
 #[tokio::test(flavor = "local")]
-async fn connections_outlast_the_lame_duck_phase_and_end_with_the_drain() {
+async fn connections_stay_open_in_the_lame_duck_phase_and_end_when_the_drain_begins() {
     let proxy = TestProxy::lame_duck().start().await;
     let mut client = proxy.connect().await;
     for (path, status) in [("ready", "503"), ("live", "200"), ("ready", "503")] {
@@ -125,12 +127,12 @@
 
     proxy.drain();
 
-    assert_eq!(client.read(&mut [0; 1]).await.unwrap(), 0, "it ends between requests");
+    assert_eq!(client.read(&mut [0; 1]).await.unwrap(), 0, "the connection ends between two requests");
     proxy.accept_loop.await.unwrap();
 }
 
 #[tokio::test(flavor = "local")]
-async fn the_request_of_a_client_that_left_before_it_had_a_slot_is_not_forwarded() {
+async fn a_request_is_not_forwarded_if_its_client_disconnected_before_it_had_a_slot() {
     let upstreams = [bind_upstream().await];
     let mut proxy = TestProxy::serving("book", "at_most_once", &upstreams);
     proxy.max_connections = 1;
@@ -143,7 +145,7 @@
     drop(send("leaves").await);
     let _stays = send("stays").await;
 
-    // The first client is evicted between two requests, and the upstream connection is reused.
+    // After its response, the first client is evicted. The next request reuses the upstream connection.
     attempt.write_all(OK_RESPONSE).await.unwrap();
     let next = read_text(&mut attempt).await;
 
@@ -151,10 +153,10 @@
     assert!(next.contains("stays"), "{next:?}");
 }
 
-/// No attempt begins, neither a first one nor a retry, for a client that has left, even if bytes follow its
-/// request or the process drains.
+/// No attempt, neither the first one nor a retry, starts for a client that has disconnected, even if bytes
+/// follow its request or the process drains.
 #[tokio::test(flavor = "local")]
-async fn the_request_of_a_client_that_left_is_not_forwarded_though_bytes_follow_it() {
+async fn a_request_is_not_forwarded_after_its_client_disconnected_even_if_bytes_follow_it() {
     for (is_draining, trailing_bytes) in
         [(false, 1), (true, 0), (true, 1), (false, 60 * 1024), (true, 60 * 1024)]
     {
@@ -168,7 +170,7 @@
                 stream = upstreams[1].accept() => stream.unwrap().0,
             }
         };
-        // One client leaves once its first attempt was sent, another one together with its request.
+        // One client disconnects after its first attempt was sent, another one right after its request.
         let first_client = send("first").await;
         let mut first_attempt = accept_attempt().await;
         let mut received = [0; 1024];
@@ -182,28 +184,28 @@
         drop(first_client);
         sleep(Duration::from_millis(100)).await;
 
-        // The first attempt ends in a way that permits a retry.
-        first_attempt.write_all(UNPROCESSED_RESPONSE).await.unwrap();
+        // The response to the first attempt permits a retry.
+        first_attempt.write_all(NOT_EXECUTED_RESPONSE).await.unwrap();
 
         let retry = timeout(Duration::from_millis(200), accept_attempt()).await;
         let reused = timeout(Duration::from_millis(10), first_attempt.read(&mut received)).await;
         assert!(
             retry.is_err() && !matches!(reused, Ok(Ok(1..))),
-            "draining: {is_draining}, {trailing_bytes} bytes follow"
+            "draining: {is_draining}, {trailing_bytes} bytes follow the request"
         );
     }
 }
 
-/// Requests that the kernel has received when the process begins to drain get their responses, on a
-/// connection in use and on connections that are not accepted yet.
+/// Requests that the kernel has received before the process begins to drain get their responses, both on an
+/// open connection and on connections that have not been accepted yet.
 #[tokio::test(flavor = "local")]
-async fn requests_that_arrive_with_the_drain_are_answered() {
+async fn requests_received_just_before_the_drain_are_answered() {
     let proxy = TestProxy::lame_duck().start().await;
     let mut used = proxy.connect().await;
     used.write_all(LIVE_REQUEST).await.unwrap();
     assert!(used.read(&mut [0; 1024]).await.unwrap() > 0);
 
-    // No other task runs between these.
+    // There is no `await` up to the drain, so the proxy does not run before it.
     assert_eq!(used.try_write(LIVE_REQUEST).unwrap(), LIVE_REQUEST.len());
     let new: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(proxy.address).unwrap()).collect();
     new.iter().for_each(|mut stream| stream.write_all(LIVE_REQUEST).unwrap());
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,5 @@
-//! Clients: accepts their connections, reads their requests and writes the final responses.
+//! The client side of the proxy: accepts connections, reads and validates requests, and writes the final
+//! responses.
 
 mod client;
 mod client_stream;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Validates clients' requests and turns them into requests for the driver.
+//! Validates clients' requests and converts them to requests for the driver.
 
 use crate::downstream::correlation_ids::{CorrelationIds, ReservedId};
 use crate::driver::IncomingRequest;
@@ -20,61 +20,64 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest request head: request line, headers and the empty line behind them.
+/// The longest accepted request head, which consists of the request line, the headers and the empty line
+/// after them.
 pub const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
-/// The longest request body.
+/// The longest accepted request body.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Subtracted from the time that a client still waits: the transfer of the request and of the response, and
-/// the resolution of the timers.
+/// Subtracted from a client's remaining time. Covers the transfer of the request and of the response, and the
+/// resolution of the timers.
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
-/// Whether requests of a class with this deadline can be served at all.
+/// Returns whether a request class with this deadline leaves any time to process its requests.
 pub fn can_be_served(deadline: Duration) -> bool {
     deadline > TRANSFER_ALLOWANCE
 }
 
-/// Why a request is rejected before it reaches the balancer. The message is the body of the response.
+/// The reason for rejecting a request before it reaches the balancer. The error message is the body of the
+/// response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// The head states the body's length in two ways. A second request could hide in the body of the first,
-    /// if the upstream trusts the other one.
+    /// The head has both `Content-Length` and `Transfer-Encoding`. If the proxy and the upstream used
+    /// different ones, a second request could be smuggled in the body of the first.
     #[error("Content-Length beside Transfer-Encoding")]
     ConflictingLengths,
     /// The head is longer than [`MAX_REQUEST_HEAD_BYTES`].
     #[error("the head is too long")]
     HeadTooLong,
-    /// There is no `Host` header, or several.
+    /// The `Host` header is missing or occurs several times.
     #[error("not one Host")]
-    NotOneHost,
-    /// The path names no request class of the settings.
+    MissingOrRepeatedHost,
+    /// The first segment of the path is not the name of a request class in the settings.
     #[error("unknown class")]
     UnknownClass,
-    /// The method is not that of the request class.
+    /// The method differs from the only one that the request class accepts.
     #[error("the class has another method")]
     MethodNotAllowed,
-    /// A header occurs twice that may occur once: another reader might use the other value.
+    /// A header that may occur only once is repeated. The upstream might use another of its values than the
+    /// proxy.
     #[error("a header twice that may stand once")]
     RepeatedHeader,
-    /// `X-Correlation-Id` is missing, empty or not ASCII text.
+    /// `X-Correlation-Id` is missing, empty or not printable ASCII text.
     #[error("no readable X-Correlation-Id")]
     InvalidCorrelationId,
-    /// The class deduplicates by a key that is missing.
+    /// The class deduplicates requests by `Idempotency-Key`, and that header is missing.
     #[error("no Idempotency-Key")]
     MissingIdempotencyKey,
-    /// `X-Account` names no tenant of the settings.
+    /// `X-Account` is missing or does not name a tenant in the settings.
     #[error("unknown account")]
     UnknownTenant,
-    /// `X-Time-Left-Ms` is missing or no whole number.
+    /// `X-Time-Left-Ms` is missing or not a non-negative whole number.
     #[error("no readable X-Time-Left-Ms")]
     InvalidTimeLeft,
-    /// `X-Weight-Hint` is no number, or negative.
+    /// `X-Weight-Hint` is not a finite number, or is negative.
     #[error("unreadable X-Weight-Hint")]
     InvalidExpectedWork,
     /// The body is longer than [`MAX_REQUEST_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
-    /// The connection failed within the body.
+    /// Reading the body failed before its end, for example because the client closed the connection.
     #[error("the body broke off")]
     IncompleteBody,
     /// The body was not complete by the read deadline.
@@ -83,13 +86,14 @@
     /// A GET request has a body.
     #[error("a GET with a body")]
     UnexpectedBody,
-    /// A request in flight has the same correlation id. An upstream would take one for a retry of the other.
+    /// Another request in flight has the same correlation id. An upstream would mistake one for a retry of
+    /// the other.
     #[error("a request with this id is open")]
     DuplicateCorrelationId,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::UnknownClass => StatusCode::NOT_FOUND,
@@ -100,7 +104,7 @@
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::DuplicateCorrelationId => StatusCode::CONFLICT,
             Self::ConflictingLengths
-            | Self::NotOneHost
+            | Self::MissingOrRepeatedHost
             | Self::RepeatedHeader
             | Self::InvalidCorrelationId
             | Self::MissingIdempotencyKey
@@ -112,7 +116,7 @@
     }
 }
 
-/// What the validation needs to know of a request class.
+/// The properties of a request class that the validation depends on.
 struct Class {
     id: ClassId,
     retry_safety: RetrySafety,
@@ -120,7 +124,7 @@
 }
 
 impl Class {
-    /// The only method of the class's requests.
+    /// Returns the only method that the class accepts.
     fn method(&self) -> Method {
         match self.retry_safety {
             RetrySafety::Idempotent => Method::GET,
@@ -146,12 +150,13 @@
 }
 
 impl RequestHead {
-    /// The request for the driver, with its complete body. The client's time counts from now on.
+    /// Returns the request for the driver. Has to be called as soon as the body is complete, because the
+    /// client's remaining time counts from this call.
     fn into_incoming(self, body: Bytes) -> IncomingRequest {
         let mut headers = self.parts.headers;
         headers::strip_hop_by_hop(&mut headers);
         let target = self.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
-        // The client's time counts from its last byte, so a slow upload does not shorten it.
+        // The remaining time counts from the last byte of the request, so a slow upload does not shorten it.
         let deadline = Instant::now() + self.time_left.saturating_sub(TRANSFER_ALLOWANCE);
         IncomingRequest {
             class: self.class,
@@ -164,15 +169,15 @@
     }
 }
 
-/// A valid request, complete with its body.
+/// A validated request with its complete body.
 pub struct ValidRequest {
     /// The request for the driver.
     pub incoming: IncomingRequest,
-    /// Has to be kept until the final response.
+    /// The reservation of the request's correlation id. Has to be kept until the final response.
     pub correlation_id: ReservedId,
 }
 
-/// Validates requests by the classes and tenants of the settings.
+/// Validates requests against the classes and tenants of the settings.
 pub struct RequestValidator {
     classes: FxHashMap<String, Class>,
     tenants: FxHashMap<String, TenantId>,
@@ -180,7 +185,7 @@
 }
 
 impl RequestValidator {
-    /// A validator for the classes and tenants of this site.
+    /// Returns a validator for the classes and tenants of `site`.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().cloned().zip(&site.settings.classes).enumerate();
         let classes = classes.map(|(index, (name, class))| {
@@ -196,14 +201,15 @@
         }
     }
 
-    /// Validates a request head. Conflicting lengths are not visible here; see `ClientSocket`.
+    /// Validates a request head. Does not detect [`RequestError::ConflictingLengths`], because hyper removes
+    /// `Content-Length` from such a head; `ClientSocket::has_conflicting_lengths` does.
     pub fn validate_head(&self, parts: Parts) -> Result<RequestHead, RequestError> {
-        if head_length(&parts) > MAX_REQUEST_HEAD_BYTES {
+        if head_length_bytes(&parts) > MAX_REQUEST_HEAD_BYTES {
             return Err(RequestError::HeadTooLong);
         }
         let headers = &parts.headers;
         if headers.get_all(HOST).iter().count() != 1 {
-            return Err(RequestError::NotOneHost);
+            return Err(RequestError::MissingOrRepeatedHost);
         }
         let class = self.class(parts.uri.path())?;
         if parts.method != class.method() {
@@ -217,7 +223,7 @@
         Ok(RequestHead {
             class: class.id,
             tenant: self.tenant(headers)?,
-            // No client waits longer than its class permits, all of its retries included.
+            // The deadline of the class bounds a client's whole wait, including its retries.
             time_left: time_left(headers)?.min(class.deadline),
             expected_work_ms: expected_work_ms(headers)?,
             is_client_retry: headers.get(CLIENT_RETRY).is_some_and(|value| value.as_bytes() == b"1"),
@@ -226,15 +232,15 @@
         })
     }
 
-    /// Reads the body, which has to be complete by `read_deadline`, and reserves the request's correlation
-    /// id.
-    pub async fn complete(
+    /// Reads the body, which has to be complete by `read_deadline`, validates it and reserves the request's
+    /// correlation id.
+    pub async fn validate_body(
         &self,
         head: RequestHead,
         body: Incoming,
         read_deadline: Instant,
     ) -> Result<ValidRequest, RequestError> {
-        let body = read_limited(body, read_deadline).await?;
+        let body = read_body(body, read_deadline).await?;
         if head.parts.method == Method::GET && !body.is_empty() {
             return Err(RequestError::UnexpectedBody);
         }
@@ -245,13 +251,14 @@
         Ok(ValidRequest { incoming: head.into_incoming(body), correlation_id })
     }
 
-    /// The class that the first segment of a path names.
+    /// Returns the class whose name is the first segment of `path`.
     fn class(&self, path: &str) -> Result<&Class, RequestError> {
         let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         self.classes.get(name).ok_or(RequestError::UnknownClass)
     }
 
-    /// The tenant. Where the settings list none, all requests belong to `TenantId(0)`.
+    /// Returns the tenant that `X-Account` names. If the settings list no tenants, all requests belong to
+    /// `TenantId(0)`.
     fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, RequestError> {
         let name = single_value(headers, &TENANT)?.and_then(|name| name.to_str().ok());
         match name.and_then(|name| self.tenants.get(name)) {
@@ -262,35 +269,38 @@
     }
 }
 
-/// The length of a head in its shortest form on the wire: one space behind the colon of each header.
-fn head_length(parts: &Parts) -> usize {
-    let target = parts.uri.path_and_query().map_or(0, |target| target.as_str().len());
-    let request_line = parts.method.as_str().len() + " ".len() + target + " HTTP/1.1\r\n".len();
+/// Returns the length of a head in bytes. hyper does not keep the original spacing, so one space is counted
+/// after the colon of each header.
+fn head_length_bytes(parts: &Parts) -> usize {
+    let target_length = parts.uri.path_and_query().map_or(0, |target| target.as_str().len());
+    let request_line_length = parts.method.as_str().len() + " ".len() + target_length + " HTTP/1.1\r\n".len();
     let header_length =
         |(name, value): (&HeaderName, &HeaderValue)| name.as_str().len() + ": \r\n".len() + value.len();
-    let headers: usize = parts.headers.iter().map(header_length).sum();
-    request_line + headers + "\r\n".len()
+    let headers_length: usize = parts.headers.iter().map(header_length).sum();
+    request_line_length + headers_length + "\r\n".len()
 }
 
+/// Returns the value of `X-Correlation-Id`.
 fn correlation_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
     let id = single_value(headers, &CORRELATION_ID)?;
     let id = id.filter(|id| id.to_str().is_ok_and(|text| !text.is_empty()));
     id.cloned().ok_or(RequestError::InvalidCorrelationId)
 }
 
-/// How long the client still waits.
+/// Returns how long the client will still wait for the response, from `X-Time-Left-Ms`.
 fn time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = single_value(headers, &TIME_LEFT)?.and_then(|value| value.to_str().ok());
-    // Digits only: `parse` would accept a sign, too.
+    // Only digits are allowed, but `parse` would accept a leading plus sign.
     let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let milliseconds = digits.and_then(|digits| digits.parse().ok());
     milliseconds.map(Duration::from_millis).ok_or(RequestError::InvalidTimeLeft)
 }
 
-/// The client's estimate of the request's work, if it states one.
+/// Returns the client's estimate of the request's work from `X-Weight-Hint`, which is in microseconds. `None`
+/// if the client sent none.
 fn expected_work_ms(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
-    let Some(hint) = single_value(headers, &EXPECTED_WORK)? else { return Ok(None) };
-    match hint.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok()) {
+    let Some(value) = single_value(headers, &EXPECTED_WORK)? else { return Ok(None) };
+    match value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok()) {
         Some(microseconds) if microseconds.is_finite() && microseconds >= 0.0 => {
             Ok(Some(microseconds / MICROSECONDS_PER_MILLISECOND))
         }
@@ -298,7 +308,7 @@
     }
 }
 
-/// The value of a header that may occur once.
+/// Returns the value of a header, or `None` if it is absent. Fails if it is repeated.
 fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -311,8 +321,8 @@
     Ok(first)
 }
 
-/// Reads a body of at most [`MAX_REQUEST_BODY_BYTES`]. One that is announced as longer is not read.
-async fn read_limited(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
+/// Reads a body of at most [`MAX_REQUEST_BODY_BYTES`]. A body that is announced as longer is rejected unread.
+async fn read_body(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
     if body.size_hint().lower() > MAX_REQUEST_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLong);
     }
--- a/crates/proxy/src/downstream/request/tests.rs
+++ b/crates/proxy/src/downstream/request/tests.rs
@@ -10,7 +10,7 @@
     RequestValidator::new(&balancer_settings::parse(&settings).unwrap())
 }
 
-/// The head of a valid request with these headers added.
+/// Returns a head with the valid headers and those in `added`.
 fn head_with(method: &str, path: &str, added: &[(&str, &str)]) -> Parts {
     head(method, path, &[&VALID_HEADERS, added].concat())
 }
@@ -18,7 +18,7 @@
 const VALID_HEADERS: [(&str, &str); 4] =
     [("host", "app.svc"), ("x-correlation-id", "9b1f"), ("x-account", "acme"), ("x-time-left-ms", "500")];
 
-/// The head of a valid request in which one header has another value, or is missing.
+/// Returns the head of a valid request in which one header is replaced, or removed if `value` is `None`.
 fn head_replacing(name: &str, value: Option<&str>) -> Parts {
     let mut headers: Vec<_> = VALID_HEADERS.into_iter().filter(|(other, _)| *other != name).collect();
     headers.extend(value.map(|value| (name, value)));
@@ -33,12 +33,13 @@
     request.body(()).unwrap().into_parts().0
 }
 
+/// Returns the reason why a head is rejected, or `None` if it is valid.
 fn rejection(head: Parts) -> Option<RequestError> {
     validator().validate_head(head).err()
 }
 
 #[test]
-fn a_valid_head_is_read() {
+fn the_values_of_a_valid_head_are_read() {
     let head = head_with("GET", "/look/day?n=1", &[("x-weight-hint", " 1500 "), ("x-repeat", "1")]);
 
     let head = validator().validate_head(head).expect("a valid head");
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn the_time_left_is_limited_by_the_deadline_of_the_class() {
+fn the_time_left_is_limited_to_the_deadline_of_the_class() {
     let head = validator().validate_head(head_replacing("x-time-left-ms", Some("60000")));
 
     assert_eq!(head.expect("a valid head").time_left, Duration::from_millis(2000));
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_deduplicated_class_requires_a_key() {
+fn a_deduplicated_class_requires_an_idempotency_key() {
     assert_eq!(rejection(head_with("POST", "/keyed", &[])), Some(RequestError::MissingIdempotencyKey));
     assert_eq!(rejection(head_with("POST", "/keyed", &[("idempotency-key", "k")])), None);
 }
@@ -74,7 +75,7 @@
 #[test]
 fn a_required_header_has_to_be_present_and_valid() {
     for (name, value, error) in [
-        ("host", None, RequestError::NotOneHost),
+        ("host", None, RequestError::MissingOrRepeatedHost),
         ("x-correlation-id", None, RequestError::InvalidCorrelationId),
         ("x-correlation-id", Some(""), RequestError::InvalidCorrelationId),
         ("x-account", None, RequestError::UnknownTenant),
@@ -97,12 +98,12 @@
     }
 }
 
-/// Clients see these statuses and texts.
+/// The statuses and texts are part of the interface to clients.
 #[test]
 fn each_rejection_has_its_status_and_text() {
     for (error, status, text) in [
         (RequestError::ConflictingLengths, 400, "Content-Length beside Transfer-Encoding"),
-        (RequestError::NotOneHost, 400, "not one Host"),
+        (RequestError::MissingOrRepeatedHost, 400, "not one Host"),
         (RequestError::UnknownClass, 404, "unknown class"),
         (RequestError::MethodNotAllowed, 405, "the class has another method"),
         (RequestError::RepeatedHeader, 400, "a header twice that may stand once"),
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Renders the responses that clients get.
+//! Builds the HTTP responses that are sent to clients.
 
 use crate::downstream::request::RequestError;
 use crate::driver::FinalResponse;
@@ -8,22 +8,22 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// A response with its complete body.
+/// A response to a client, with its complete body.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// A response with a short text as its body.
+/// Returns a response whose body is `text`.
 pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> ClientResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// The response to a request that is rejected before it reaches the balancer.
+/// Returns the response to a request that was rejected before it reached the balancer.
 pub fn render_error(error: RequestError) -> ClientResponse {
     plain_text(error.status(), error.to_string())
 }
 
-/// The response to a request that the balancer has decided on.
+/// Returns the response to a request that was submitted to the balancer.
 pub fn render_response(response: FinalResponse) -> ClientResponse {
     match response {
         FinalResponse::Served(served) => {
@@ -36,6 +36,7 @@
     }
 }
 
+/// Returns the response to a request that was not executed. `Retry-After` is in seconds with three decimals.
 fn render_rejection(retry_after: Option<Duration>) -> ClientResponse {
     let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let seconds = retry_after.and_then(|delay| format!("{:.3}", delay.as_secs_f64()).parse().ok());
