--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -18,13 +18,14 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Interval at which the timeouts are checked. A new connection is checked only when its timeout expires.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A request that is still incomplete after this time is stalled. The time counts like [`READ_TIMEOUT`].
+/// A request that is still incomplete after this time is stalled. The time has the same start as
+/// [`READ_TIMEOUT`].
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 /// A connection that has been idle for longer than this is evicted before one that has recently begun a
 /// request.
 const LONG_IDLE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// The state of a client connection.
+/// The stage of request processing that a client connection is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
     /// No valid request has arrived yet.
@@ -47,7 +48,7 @@
     since: Instant,
 }
 
-/// The classes of connections that may be evicted, in the order of their eviction.
+/// The ranks of connections that may be evicted, in the order of their eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     /// The connection was accepted, or its request began, more than [`STALL_THRESHOLD`] ago, and no complete
@@ -62,7 +63,8 @@
     RecentlyIdle,
 }
 
-/// The state of one client connection, shared by its socket, its requests and the listener.
+/// The state of one client connection, with the times on which its timeouts and its eviction depend. It is
+/// shared by the connection's socket, its requests and the listener.
 pub struct Client {
     state: Cell<ClientState>,
     /// Whether a valid request has been answered on this connection.
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -47,16 +47,17 @@
         }
     }
 
-    /// Returns whether a head was received with both `Content-Length` and `Transfer-Encoding`. hyper removes
-    /// `Content-Length` from the headers of such a head. Has to be called once for each head.
+    /// Returns whether a head was received with both `Content-Length` and `Transfer-Encoding`. `headers` are
+    /// its headers from hyper, which removes `Content-Length` in this case. Has to be called once for each
+    /// head.
     pub fn has_conflicting_lengths(&self, headers: &HeaderMap) -> bool {
         let visible_headers = headers.get_all(CONTENT_LENGTH).iter().count();
         let has_hidden_length = self.content_lengths.borrow_mut().has_hidden_header(visible_headers);
         has_hidden_length && headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Waits until the client closes its connection while it awaits a response. hyper does not notice that if
-    /// bytes follow the request, so they are read ahead here.
+    /// Waits until the client disconnects while it awaits a response. hyper does not notice a disconnect while
+    /// unread bytes follow the request, so they are read ahead here.
     pub async fn disconnected(&self) {
         let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Inspects bytes that are passed to hyper.
+    /// Records the arrival of bytes that are passed to hyper, and counts `Content-Length` headers in them.
     fn on_bytes_received(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -43,7 +43,7 @@
     handler: Rc<RequestHandler>,
     mut phase: watch::Receiver<LifecyclePhase>,
 ) {
-    // A failure is ignored, because it only delays responses.
+    // A failure is ignored: without the option responses are delayed, but correct.
     let _ = stream.set_nodelay(true);
     let socket = Rc::new(ClientSocket::new(stream, Rc::clone(client)));
     let service_client = Rc::clone(client);
--- a/crates/proxy/src/downstream/handler.rs
+++ b/crates/proxy/src/downstream/handler.rs
@@ -22,7 +22,7 @@
 }
 
 impl HealthCheck {
-    /// Returns the kind of health check, or `None` if the request is not a health check.
+    /// Returns the kind of health check, or `None` if the request has another path or a body.
     fn from_request(request: &Request<Incoming>) -> Option<Self> {
         if !request.body().is_end_stream() {
             return None;
