--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -72,8 +72,8 @@
     /// When the last response was ready or, until the first valid request has been answered, when the
     /// connection was accepted.
     last_active_at: Cell<Instant>,
-    /// When the request that is being read began; `None` if no byte of it has arrived. Not set while the
-    /// connection is new.
+    /// When the first byte of the request that is being read arrived or, before any valid request, when the
+    /// connection was accepted. `None` if no request is being read, and in state [`ClientState::New`].
     request_started_at: Cell<Option<Instant>>,
     /// Whether the response to the last request is ready. It may not have been written yet.
     has_response: Cell<bool>,
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -56,7 +56,7 @@
         has_hidden_length && headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Waits until the client disconnects while it awaits a response. hyper does not notice a disconnect while
+    /// Waits until the client disconnects while it awaits a response. hyper does not notice a disconnect if
     /// unread bytes follow the request, so they are read ahead here.
     pub async fn disconnected(&self) {
         let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Moves received bytes to the read-ahead buffer, at most as many as `chunk` holds.
+    /// Moves received bytes to the read-ahead buffer, at most as many as `chunk` holds. Returns whether the
+    /// client may send more.
     fn try_read_ahead(&self, chunk: &mut [u8]) -> StreamState {
         match self.stream.try_read(chunk) {
             Ok(0) => StreamState::Closed,
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -88,8 +88,8 @@
         let _ = slots.acquire_many(max_connections as u32).await;
     }
 
-    /// Waits for a free slot. Tries to evict a connection at each interval, because connections that must not
-    /// be evicted now may be idle later.
+    /// Waits for a free slot. Tries to evict a connection every [`EVICTION_RETRY_INTERVAL`], because one that
+    /// must not be evicted now may be idle later.
     async fn acquire_slot(&self, slots: &Arc<Semaphore>) -> OwnedSemaphorePermit {
         loop {
             if let Ok(slot) = Arc::clone(slots).try_acquire_owned() {
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -30,7 +30,7 @@
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
-/// Returns whether a request class with this deadline leaves any time to process its requests.
+/// Returns whether any time remains to process the requests of a class with this deadline.
 pub fn can_be_served(deadline: Duration) -> bool {
     deadline > TRANSFER_ALLOWANCE
 }
@@ -269,8 +269,8 @@
     }
 }
 
-/// Returns the length of a head in bytes. hyper does not keep the original spacing, so one space is counted
-/// after the colon of each header.
+/// Returns the length of a head in bytes. hyper does not keep the original spacing, so a single space is
+/// counted after the colon of each header.
 fn head_length_bytes(parts: &Parts) -> usize {
     let target_length = parts.uri.path_and_query().map_or(0, |target| target.as_str().len());
     let request_line_length = parts.method.as_str().len() + " ".len() + target_length + " HTTP/1.1\r\n".len();
