--- a/crates/testbed/shims/system_faults.c
+++ b/crates/testbed/shims/system_faults.c
@@ -1,9 +1,12 @@
 /*
- * Makes network calls of a process fail at random, in ways that their manual pages allow.
+ * Shared library for LD_PRELOAD that makes network calls of a process fail at random, in ways that their
+ * manual pages allow: reads and writes are interrupted or transfer fewer bytes than requested; epoll_wait is
+ * interrupted; accept4, socket and connect fail with a temporary error, such as a lack of descriptors.
  *
- * Loaded with LD_PRELOAD. SYSTEM_FAULTS_PER_MILLE states how many of a thousand calls fail, SYSTEM_FAULTS_SEED
- * the seed that chooses them. Reads and writes are interrupted or short; accept, socket and connect lack resources
- * for a moment. SYSTEM_FAULTS_CLOCK_STEPS=1 steps the wall clock now and then.
+ * Environment variables:
+ * - SYSTEM_FAULTS_PER_MILLE: how many of a thousand calls fail, on average;
+ * - SYSTEM_FAULTS_SEED: the seed of the random numbers;
+ * - SYSTEM_FAULTS_CLOCK_STEPS: 1 makes the wall clock step at random.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -16,15 +19,17 @@
 #include <sys/uio.h>
 #include <time.h>
 
+/* State of the random number generator. */
 static _Atomic uint64_t state;
 
+/* Returns the number in an environment variable, or the fallback if the variable is not set. */
 static uint64_t from_environment(const char *name, uint64_t fallback)
 {
     const char *value = getenv(name);
     return value ? strtoull(value, NULL, 10) : fallback;
 }
 
-/* Advances a Weyl sequence and mixes its bits (SplitMix64). */
+/* Returns the next random number. SplitMix64: advances a Weyl sequence and mixes its bits. */
 static uint64_t next_random(void)
 {
     uint64_t value = atomic_fetch_add(&state, 0x9e3779b97f4a7c15u);
@@ -38,7 +43,7 @@
     atomic_store(&state, from_environment("SYSTEM_FAULTS_SEED", 1));
 }
 
-/* Draws whether the present call fails. */
+/* Draws whether the current call fails. */
 static int draw_fault(void)
 {
     static uint64_t per_mille = UINT64_MAX;
@@ -47,16 +52,19 @@
     return next_random() % 1000 < per_mille;
 }
 
+/* Sets errno to a random one of these errors and returns -1. */
 static int fail(const int *errors, size_t count)
 {
     errno = errors[next_random() % count];
     return -1;
 }
 
+/* Fails with a random error of an array. */
 #define FAIL(errors) fail(errors, sizeof(errors) / sizeof(errors[0]))
+/* Looks up the function that the library replaces under this name. */
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-/* Draws the length of a short read or write. */
+/* Draws the length of a short read or write, from 1 to length - 1. Lengths of 0 and 1 stay as they are. */
 static size_t draw_short_length(size_t length)
 {
     return length > 1 ? 1 + next_random() % (length - 1) : length;
@@ -126,10 +134,10 @@
     return REAL(epoll_wait)(descriptor, events, max_events, timeout);
 }
 
-/* Steps of the wall clock against the true one, in seconds. */
+/* Possible offsets of the wall clock from the real time, in seconds. */
 static const int clock_steps[] = {0, -3700, -60, -5, 5, 60, 3700};
 
-/* Draws another step at one reading of the wall clock in so many. */
+/* On average, one in this number of readings of the wall clock draws a new offset. */
 #define READINGS_PER_STEP 64
 
 int clock_gettime(clockid_t clock, struct timespec *time)
--- a/crates/testbed/src/agent/mod.rs
+++ b/crates/testbed/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! A discovery agent beside a balancer: it answers calls with a watch on a [`SharedRegistry`], breaks watches
-//! off at random, and can be stalled or closed.
+//! A stand-in for the discovery agent beside a balancer. It answers each call with a watch on a
+//! [`SharedRegistry`], ends watches at random, and can be stalled or closed.
 
 mod watch;
 
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use watch::Watch;
 
-/// How long an agent goes on as before after [`Agent::close`].
+/// Time between the call of [`Agent::close`] and the moment when the agent closes.
 const CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// The faults of an agent. Probabilities are between 0 and 1.
+/// Faults that an agent injects, with probabilities from 0 to 1, and the chunk size of its updates.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentFaults {
-    /// Probability that a watch is broken off within an update.
+    /// Probability that the agent sends only part of an update and closes the connection.
     pub truncated_update: f64,
-    /// Probability that a watch ends instead of delivering an update.
+    /// Probability that the agent closes the connection instead of sending an update.
     pub closed_watch: f64,
-    /// Probability that a call is answered with a snapshot where a delta would do.
+    /// Probability that the agent answers a call with a snapshot although a delta would be enough.
     pub snapshot: f64,
-    /// The longest chunk of an update.
+    /// Maximum length of the chunks in which an update is sent.
     pub max_chunk_bytes: usize,
 }
 
-/// The state of an agent that its owner controls and its watches observe.
+/// State that the owner of an agent sets, and that the threads of the agent read.
 #[derive(Default)]
 struct AgentControl {
     stalled: AtomicBool,
@@ -45,14 +45,16 @@
     }
 }
 
-/// A running agent. It answers until the process ends or the agent is closed.
+/// A running agent. It answers calls until [`Agent::close`] is called or the test process ends.
 pub struct Agent {
     address: SocketAddr,
     control: Arc<AgentControl>,
 }
 
 impl Agent {
-    /// Starts an agent on a free port. Fails if it cannot listen.
+    /// Starts an agent on a free port. `seed` determines its faults.
+    ///
+    /// Returns an error if the agent cannot listen.
     pub fn start(registry: &Arc<SharedRegistry>, faults: AgentFaults, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -67,19 +69,19 @@
         Ok(Self { address, control })
     }
 
-    /// Returns the address of the agent.
+    /// Returns the address on which the agent listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stalls the agent or resumes it. Calls made while it is stalled are never answered; watches that were
-    /// open before continue when it is resumed.
+    /// Stalls or resumes the agent. Calls made during a stall are never answered. Watches that were open
+    /// before the stall send nothing during it and continue afterwards.
     pub fn set_stalled(&self, stalled: bool) {
         self.control.stalled.store(stalled, Ordering::SeqCst);
     }
 
-    /// Closes the agent a moment later: it then takes no more calls, and a watch that is open ends when its
-    /// next update or heartbeat is due.
+    /// Closes the agent after a short delay. A closed agent answers no more calls, and its open watches end
+    /// when their next update or heartbeat is due.
     pub fn close(self) {
         let control = self.control;
         thread::spawn(move || {
@@ -89,7 +91,7 @@
     }
 }
 
-/// Accepts the calls of balancers.
+/// Accepts calls from balancers.
 struct Acceptor {
     registry: Arc<SharedRegistry>,
     control: Arc<AgentControl>,
@@ -98,7 +100,7 @@
 }
 
 impl Acceptor {
-    /// Serves each call in a thread of its own, until the agent is closed.
+    /// Serves each call in its own thread, until the agent is closed.
     fn accept_calls(mut self, listener: &TcpListener) {
         for stream in listener.incoming().map_while(Result::ok) {
             if self.control.is_closed() {
@@ -112,9 +114,9 @@
                 control: Arc::clone(&self.control),
             };
             thread::spawn(move || {
-                // An error is the end of a watch that the balancer has closed.
+                // An error ends the watch, usually because the balancer has closed the connection.
                 let _ = watch.serve(&registry);
-                // The balancer may have closed the connection already.
+                // The shutdown of the socket fails if the balancer has already closed the connection.
                 let _ = watch.stream.shutdown(Shutdown::Both);
             });
         }
--- a/crates/testbed/src/agent/watch.rs
+++ b/crates/testbed/src/agent/watch.rs
@@ -1,4 +1,4 @@
-//! One call to an agent, and the watch that answers it: a chunked response of updates and heartbeats.
+//! Answers one call to an agent with a watch: a chunked HTTP response of updates and heartbeats.
 
 use super::{AgentControl, AgentFaults};
 use crate::registry::{ListUpdate, UpdateScope};
@@ -9,19 +9,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time between two heartbeats while nothing changes.
+/// Time between two heartbeats while the registry does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 const HEARTBEAT: &[u8] = b"\n";
-/// Time between two checks whether a stalled agent has been resumed.
+/// Time between two checks of whether a stalled agent has been resumed.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The version that a balancer without a list asks to go on from.
+/// Version that a balancer without an endpoint list states in its call.
 const NO_VERSION: u64 = 0;
-/// The length of a header line without content.
+/// Length of the empty line, `\r\n`, that ends the header section of a request.
 const EMPTY_LINE_BYTES: usize = 2;
 const RESPONSE_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// An open watch.
+/// An open watch and its connection.
 pub(super) struct Watch {
     pub stream: TcpStream,
     pub random: fastrand::Rng,
@@ -29,16 +29,16 @@
     pub control: Arc<AgentControl>,
 }
 
-/// Whether a watch goes on after an update.
+/// Whether an update was sent completely, or a fault ended the watch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Delivery {
     Complete,
-    BrokenOff,
+    Aborted,
 }
 
 impl Watch {
-    /// Reads the call and delivers updates until a fault ends the watch, the agent is closed, or the
-    /// connection ends.
+    /// Reads the call and sends updates until a fault ends the watch, the agent is closed, or the connection
+    /// ends.
     pub fn serve(&mut self, registry: &SharedRegistry) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         let mut version = self.read_call()?;
@@ -46,19 +46,19 @@
             return self.wait_for_disconnect();
         }
         self.stream.write_all(RESPONSE_HEAD)?;
-        // The first update comes at once, whether anything has changed or not.
+        // The first update is sent at once, even if nothing has changed.
         let first_scope = self.draw_first_scope(version);
         let mut update = Some(registry.update(first_scope));
         while !self.control.is_closed() {
             if self.control.is_stalled() {
                 self.wait_until_resumed();
-                // More may have changed meanwhile.
+                // The registry may have changed during the stall.
                 update = Some(registry.update(UpdateScope::Delta { since: version }));
             }
             match update {
                 None => self.write_chunk(HEARTBEAT)?,
                 Some(ListUpdate { json, version: new_version }) => {
-                    if self.deliver(&json)? == Delivery::BrokenOff {
+                    if self.deliver(&json)? == Delivery::Aborted {
                         return Ok(());
                     }
                     version = new_version;
@@ -70,6 +70,7 @@
         Ok(())
     }
 
+    /// Draws the scope of the first update for a balancer that has the endpoint list in this version.
     fn draw_first_scope(&mut self, version: u64) -> UpdateScope {
         let is_snapshot = version == NO_VERSION || self.random.f64() < self.faults.snapshot;
         let include_draining = self.draw_include_draining();
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Draws whether a snapshot includes draining servers. Drawn for every update, although deltas do not use
-    /// it: each seed stands for a certain sequence of draws.
+    /// Draws whether a snapshot includes draining servers. The draw also takes place for deltas and
+    /// heartbeats, which do not use the result, because each seed stands for a certain sequence of draws.
     fn draw_include_draining(&mut self) -> bool {
         self.random.bool()
     }
@@ -99,7 +100,7 @@
         Ok(())
     }
 
-    /// Reads a call and returns the version that it asks to go on from.
+    /// Reads a call and returns the version of the endpoint list after which it requests changes.
     fn read_call(&mut self) -> io::Result<u64> {
         let mut reader = BufReader::new(&self.stream);
         let mut request_line = String::new();
@@ -111,22 +112,22 @@
         requested_version(&request_line).ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 
-    /// Delivers an update, unless a fault ends the watch before it or within it.
+    /// Sends an update, unless a fault ends the watch before or during the update.
     fn deliver(&mut self, json: &str) -> io::Result<Delivery> {
         if self.random.f64() < self.faults.closed_watch {
-            return Ok(Delivery::BrokenOff);
+            return Ok(Delivery::Aborted);
         }
         let message = [json.as_bytes(), b"\n"].concat();
         if self.random.f64() < self.faults.truncated_update {
             let length = self.random.usize(..message.len());
             self.write_in_chunks(&message[..length])?;
-            return Ok(Delivery::BrokenOff);
+            return Ok(Delivery::Aborted);
         }
         self.write_in_chunks(&message)?;
         Ok(Delivery::Complete)
     }
 
-    /// Writes a message in chunks of random length, some of them together with the next.
+    /// Sends a message in chunks of random length. Some chunks are written together with the next one.
     fn write_in_chunks(&mut self, message: &[u8]) -> io::Result<()> {
         let mut rest = message;
         let mut buffer = Vec::new();
@@ -148,14 +149,14 @@
     }
 }
 
-/// Writes a chunk in the form of HTTP/1.1's chunked transfer coding.
+/// Writes a chunk in the chunked transfer coding of HTTP/1.1.
 fn encode_chunk(output: &mut impl Write, chunk: &[u8]) -> io::Result<()> {
     write!(output, "{:x}\r\n", chunk.len())?;
     output.write_all(chunk)?;
     output.write_all(b"\r\n")
 }
 
-/// Returns the value of `index=` in a request line.
+/// Returns the value of the query parameter `index` in a request line.
 fn requested_version(request_line: &str) -> Option<u64> {
     let value = request_line.split("index=").nth(1)?;
     let digits = value.split([' ', '&']).next()?;
--- a/crates/testbed/src/balancer_process.rs
+++ b/crates/testbed/src/balancer_process.rs
@@ -1,4 +1,4 @@
-//! A process of the balancer.
+//! Starts, signals and kills a balancer process, and collects its log.
 
 use serde_json::json;
 use std::ffi::OsString;
@@ -10,33 +10,34 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// How long a process may take from its start until it serves.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two looks at the log of a process that starts.
+/// Interval at which the log of a starting process is checked.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The seed of the first balancer; the others count up from it.
+/// Seed of balancer 0. Each further balancer has the next higher seed.
 const FIRST_SEED: u64 = 0x8c1f_30d2;
-/// The log field that holds the address on which a process serves.
+/// Log field with the address on which the process serves.
 const LISTEN_FIELD: &str = "listen=";
 
-/// What a process is started with.
+/// Options with which a process is started.
 pub struct ProcessOptions<'a> {
-    /// The program.
+    /// Path of the executable of the balancer.
     pub program: &'a Path,
-    /// The index of this balancer.
+    /// Index of this balancer, from 0 to `balancers` - 1.
     pub index: usize,
-    /// How many balancers there are.
+    /// Number of balancers in the settings, including this one.
     pub balancers: usize,
-    /// The address of the discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The endpoint list known from before, in discovery's form.
+    /// Endpoint list with which the process starts, in the JSON form of discovery.
     pub cached_endpoints: &'a str,
-    /// The folder for its configuration file.
+    /// Existing directory for the configuration file.
     pub folder: &'a Path,
-    /// Variables that are added to its environment.
+    /// Variables that are added to the environment of the process.
     pub environment: &'a [(&'static str, OsString)],
-    /// The request classes, in the form of the settings; `None` for one idempotent class.
+    /// Request classes in the form of the settings; `None` stands for a single idempotent class.
     pub classes: Option<serde_json::Value>,
-    /// What the process logs.
+    /// Log level of the process: the value of `NODE_LOG`.
     pub log_level: &'static str,
 }
 
@@ -45,9 +46,10 @@
         self.folder.join(format!("balancer-{}.json", self.index))
     }
 
-    /// Renders the configuration file, in the platform's form. Fails if the cached endpoints are not JSON.
+    /// Returns the configuration file in the form that the platform writes. Returns an error if the cached
+    /// endpoints are not JSON.
     fn configuration(&self) -> io::Result<String> {
-        let one_class =
+        let default_classes =
             || json!([{"name": "look", "aim_ms": 2000, "hard_limit_ms": 4000, "effect": "idempotent"}]);
         let cached_endpoints: serde_json::Value = serde_json::from_str(self.cached_endpoints)?;
         let configuration = json!({
@@ -59,7 +61,7 @@
             "known": cached_endpoints,
             "settings": {
                 "balancers": self.balancers, "me": self.index, "discovery": "automatic",
-                "classes": self.classes.clone().unwrap_or_else(one_class),
+                "classes": self.classes.clone().unwrap_or_else(default_classes),
                 "failure_domains": ["a"], "skus": ["m"], "locality": 0,
                 "limits": {"conn_idle_ms": 5000, "connect_timeout_ms": 500, "try_limit": 4},
                 "parties": [{"name": "acme", "allowance_per_s": 100_000.0}],
@@ -69,20 +71,21 @@
     }
 }
 
-/// A signal to a process.
+/// A signal that can be sent to a balancer process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Shut down.
+    /// SIGTERM, which makes the process shut down.
     Terminate,
-    /// Reload the configuration.
+    /// SIGHUP, which makes the process reload its configuration.
     Hangup,
-    /// Pause.
+    /// SIGSTOP, which pauses the process.
     Stop,
-    /// Resume.
+    /// SIGCONT, which resumes the process.
     Continue,
 }
 
 impl Signal {
+    /// Returns the name of the signal for `kill -s`.
     fn name(self) -> &'static str {
         match self {
             Self::Terminate => "TERM",
@@ -96,27 +99,28 @@
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEnd {
-    /// By itself, with success.
+    /// The process exited with status 0.
     Succeeded,
-    /// By itself, with an error or a signal.
+    /// The process exited with another status, or a signal ended it before it was killed.
     Failed,
-    /// It was killed.
+    /// The process was still running and was killed.
     Killed,
 }
 
-/// A running process; killed when dropped.
+/// A balancer process, which is killed when the value is dropped.
 pub struct BalancerProcess {
     child: Child,
     discovery: SocketAddr,
     configuration_path: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
-    /// Ends with the log.
+    /// Thread that collects the log; it ends with the log.
     log_reader: Option<JoinHandle<()>>,
     started_at: Instant,
 }
 
 impl BalancerProcess {
-    /// Starts a process. Fails if its configuration cannot be written or the program cannot be run.
+    /// Starts a process. Returns an error if its configuration file cannot be written or the program cannot
+    /// be run.
     pub fn start(options: &ProcessOptions<'_>) -> io::Result<Self> {
         let configuration_path = options.configuration_path();
         std::fs::write(&configuration_path, options.configuration()?)?;
@@ -140,7 +144,8 @@
         self.started_at
     }
 
-    /// Waits until the process serves and returns its address. Fails if it ends or is not ready in 20 s.
+    /// Waits until the process serves and returns its address. Returns an error if the process ends, or does
+    /// not serve within 20 s of its start.
     pub fn wait_until_serving(&mut self) -> io::Result<SocketAddr> {
         loop {
             let log = self.log();
@@ -148,20 +153,27 @@
                 return Ok(address);
             }
             if self.child.try_wait()?.is_some() || self.started_at.elapsed() > START_TIMEOUT {
-                return Err(io::Error::other(format!("the balancer does not serve: {log:?}")));
+                return Err(io::Error::other(format!(
+                    "the balancer process ended or did not begin to serve in time; its log: {log:?}"
+                )));
             }
             thread::sleep(START_POLL_INTERVAL);
         }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process. Returns an error if the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let process_id = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", signal.name(), &process_id]).status()?;
-        if status.success() { Ok(()) } else { Err(io::Error::other(format!("{signal:?} was not sent"))) }
+        if status.success() {
+            Ok(())
+        } else {
+            Err(io::Error::other(format!("sending signal {signal:?} to the balancer process failed")))
+        }
     }
 
-    /// Moves its discovery to another agent: changes the address in the configuration and has it reloaded.
+    /// Moves the process to another discovery agent: replaces the address in the configuration file and makes
+    /// the process reload it.
     pub fn move_discovery(&mut self, address: SocketAddr) -> io::Result<()> {
         let old = std::fs::read_to_string(&self.configuration_path)?;
         let new = old.replacen(&self.discovery.to_string(), &address.to_string(), 1);
@@ -172,17 +184,17 @@
         self.signal(Signal::Hangup)
     }
 
-    /// Returns its log so far.
+    /// Returns the log lines that the process has written so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whether the process has ended by itself.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> io::Result<bool> {
         Ok(self.child.try_wait()?.is_some())
     }
 
-    /// Kills the process, unless it has ended by itself. Returns how it ended.
+    /// Kills the process if it is still running. Returns how it ended.
     pub fn kill_and_wait(&mut self) -> io::Result<ProcessEnd> {
         if let Some(status) = self.child.try_wait()? {
             return Ok(if status.success() { ProcessEnd::Succeeded } else { ProcessEnd::Failed });
@@ -192,16 +204,16 @@
         Ok(ProcessEnd::Killed)
     }
 
-    /// Waits for the end of the log, which comes with the end of the process, and returns it.
+    /// Waits until the process has closed its log, which it does when it ends, and returns the complete log.
     pub fn complete_log(&mut self) -> Vec<String> {
         if let Some(reader) = self.log_reader.take() {
-            // A reader that has failed leaves what it has read.
+            // If the reader has panicked, the lines that it has read are returned.
             let _ = reader.join();
         }
         self.log()
     }
 
-    /// Kills the process. Returns whether it was still running.
+    /// Kills the process. Returns whether it was still running before.
     pub fn kill(&mut self) -> io::Result<bool> {
         let was_running = self.child.try_wait()?.is_none();
         self.child.kill()?;
@@ -212,21 +224,22 @@
 
 impl Drop for BalancerProcess {
     fn drop(&mut self) {
-        // The process may have ended by itself or been killed before, and nobody is left to handle an error.
+        // The process may have ended already, and a destructor cannot report an error.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // The folder may have been removed already.
+        // The directory may have been removed already.
         let _ = std::fs::remove_file(&self.configuration_path);
     }
 }
 
+/// Appends each line of the standard error stream to the log, until the stream ends.
 fn collect_lines(stderr: impl Read, log: &Mutex<Vec<String>>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         log.lock().unwrap_or_else(PoisonError::into_inner).push(line);
     }
 }
 
-/// Returns the address that a log line states, if it is that of a process that has begun to serve.
+/// Returns the listen address in a log line, or `None` if the line contains none.
 fn listen_address(line: &str) -> Option<SocketAddr> {
     let value = line.split(LISTEN_FIELD).nth(1)?;
     value.split(' ').next()?.parse().ok()
--- a/crates/testbed/src/drain_rule.rs
+++ b/crates/testbed/src/drain_rule.rs
@@ -1,54 +1,54 @@
-//! The rule on draining servers: no request reaches one later than a grace period after the balancer was
-//! notified.
+//! Checks the rule on draining servers: no request may reach a draining server after a grace period, which
+//! begins when the balancer process is notified of the draining.
 
 use crate::servers::Arrival;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Separates the name of the sending process from the rest of a correlation id.
+/// Separates the name of the balancer process from the rest of a correlation id.
 const PROCESS_SEPARATOR: char = '-';
 
-/// A time during which a group of servers drained.
+/// A period during which a group of servers was draining.
 #[derive(Clone, Debug)]
 pub struct DrainPeriod {
-    /// The group.
+    /// Index of the group.
     pub group: usize,
-    /// When the registry had the group as draining.
+    /// When the registry marked the group as draining.
     pub began: Instant,
-    /// When the group was ready again; `None` while it drains.
+    /// When the registry marked the group as ready again; `None` while it is draining.
     pub ended: Option<Instant>,
 }
 
 impl DrainPeriod {
-    /// Whether the group was ready again at a time.
+    /// Returns whether the group was ready again at this time.
     fn is_over_at(&self, at: Instant) -> bool {
         self.ended.is_some_and(|ended| at >= ended)
     }
 }
 
-/// A time during which a discovery agent delivered nothing.
+/// A period during which a discovery agent sent no updates.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryStall {
-    /// When the agent was stalled.
+    /// When the stall began.
     pub began: Instant,
-    /// When it was resumed.
+    /// When the agent was resumed.
     pub ended: Instant,
 }
 
-/// When a process of the balancer could be notified.
+/// The start of a balancer process and the stalls of its discovery agent, which delay notifications.
 #[derive(Clone, Debug)]
 pub struct ProcessHistory {
-    /// The index of its balancer.
+    /// Index of the balancer. Processes that replace each other after a restart have the same index.
     pub balancer: usize,
-    /// When it was started.
+    /// When the process was started.
     pub started_at: Instant,
-    /// The stalls of its agent, in order.
+    /// Stalls of the discovery agent, in chronological order.
     pub discovery_stalls: Vec<DiscoveryStall>,
 }
 
 impl ProcessHistory {
-    /// Returns when the process counts as notified of a change: not before its start, and not while its agent
-    /// was stalled.
+    /// Returns when the process counts as notified of a change: at the time of the change, but not before the
+    /// process was started, and not while its discovery agent was stalled.
     pub fn notified_at(&self, changed_at: Instant) -> Instant {
         let mut notified_at = changed_at.max(self.started_at);
         for stall in &self.discovery_stalls {
@@ -63,16 +63,18 @@
 /// A request that reached a draining server too late.
 #[derive(Debug)]
 pub struct DrainViolation {
-    /// The request.
+    /// The request as the server received it.
     pub arrival: Arrival,
-    /// The name of the process that sent it.
+    /// Name of the balancer process that sent the request.
     pub process: String,
-    /// Time from the notification of the process to the arrival.
+    /// Time from the notification of the process to the arrival of the request.
     pub delay: Duration,
 }
 
-/// Returns the requests that broke the rule. The part of a correlation id before the first `-` is the name of
-/// the process; requests of other senders are skipped.
+/// Returns the requests that reached a draining group later than `grace` after their process was notified.
+///
+/// The keys of `processes` are the names of the processes. The part of a correlation id before the first `-`
+/// names the process that sent the request; requests of processes that are not in `processes` are ignored.
 pub fn find_violations(
     arrivals: &[Arrival],
     drain_periods: &[DrainPeriod],
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,18 +1,21 @@
-//! Stand-ins for what surrounds a balancer on real sockets, on loopback, with faults drawn from a seed, and
-//! checks of the rules that a balancer has to keep, by what the servers received.
+//! Stand-ins for the environment of a balancer process (discovery, servers and clients), and checks of the
+//! behavior of the process. They use real sockets on the loopback interface, and draw their faults from a
+//! seed.
 //!
-//! A [`soak`] test runs a fleet of servers of any size against processes of the balancer:
+//! [`soak`] runs balancer processes in a fleet of servers of any size. It checks, by the requests that the
+//! servers received, that draining servers get no new requests. It uses these modules:
 //!
-//! - [`registry`]: the list of servers, its versions and the changes of each;
-//! - [`shared_registry`]: the list as agents and the test share it;
-//! - [`agent`]: a discovery agent that delivers the list in chunks and breaks or stalls watches;
+//! - [`registry`]: the endpoint list, with its versions and the changes in each version;
+//! - [`shared_registry`]: the registry as discovery agents and the test share it;
+//! - [`agent`]: a discovery agent that sends the endpoint list in chunks, and ends or stalls watches;
 //! - [`servers`]: groups of servers that record each request;
-//! - [`balancer_process`]: a process of the balancer, started and killed;
+//! - [`balancer_process`]: starts, signals and kills a balancer process;
 //! - [`client`]: sends requests one after another;
 //! - [`drain_rule`]: finds requests that reached a draining server too late;
-//! - [`shim`]: makes system calls of a balancer fail, and steps its wall clock.
+//! - [`shim`]: makes system calls of a balancer process fail, and steps its wall clock.
 //!
-//! [`shutdown`] is a soak test of the end of a single process.
+//! [`shutdown`] tests the shutdown of a single balancer process under traffic. It uses some of the same
+//! modules.
 
 pub mod agent;
 pub mod balancer_process;
--- a/crates/testbed/src/message.rs
+++ b/crates/testbed/src/message.rs
@@ -1,22 +1,23 @@
-//! HTTP messages as stand-ins read them.
+//! A minimal reader of HTTP/1.1 messages for the stand-ins.
 
 use std::io::{self, BufRead};
 
-/// The length of a header line without content.
+/// Length of the empty line, `\r\n`, that ends the header section.
 const EMPTY_LINE_BYTES: usize = 2;
 
-/// A request or a response whose body is as long as `Content-Length` states.
+/// A request or a response. Its body has the length in `Content-Length`, and is empty without that header.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// The first line, without its end.
+    /// The request line or the status line, without its line ending.
     pub start_line: String,
-    /// The value of `X-Correlation-Id`; empty without one.
+    /// The value of `X-Correlation-Id`; empty if the header is absent.
     pub correlation_id: String,
     content_length: usize,
 }
 
 impl Message {
-    /// Reads a message and its body; `None` if the stream ends before it begins.
+    /// Reads a message and skips its body. Returns `None` if the stream ends before the first byte of a
+    /// message.
     pub fn read(reader: &mut impl BufRead) -> io::Result<Option<Self>> {
         let mut message = Self::default();
         if reader.read_line(&mut message.start_line)? == 0 {
@@ -35,7 +36,7 @@
         Ok(Some(message))
     }
 
-    /// The status of a response; `None` if this is no response.
+    /// Returns the status code, or `None` if the message is not a response.
     pub fn status(&self) -> Option<u16> {
         self.start_line.split(' ').nth(1)?.parse().ok()
     }
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -1,5 +1,6 @@
-//! Groups of servers. All servers of a group share an address and a state, so that a few listeners stand in
-//! for thousands of servers. Each request is recorded with its group, its id and its time.
+//! Groups of servers. All servers of a group share one address and one state, so that a few listeners can
+//! stand in for thousands of servers. Each request is recorded with its group, correlation id and time of
+//! arrival.
 
 use crate::message::Message;
 use std::io::{self, BufReader, Write};
@@ -13,22 +14,22 @@
 /// A request that a server has read completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The server's group.
+    /// Index of the group whose listener received the request.
     pub group: usize,
-    /// The id that the client gave the request.
+    /// Correlation id that the client gave the request.
     pub correlation_id: String,
-    /// When the server had read it.
+    /// When the server had read the complete request.
     pub at: Instant,
 }
 
-/// All groups.
+/// All server groups, which listen until the test process ends.
 pub struct ServerGroups {
     addresses: Vec<SocketAddr>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
 }
 
 impl ServerGroups {
-    /// Starts `count` groups on free ports. Fails if one cannot listen.
+    /// Starts `count` groups on free ports. Returns an error if a group cannot listen.
     pub fn start(count: usize) -> io::Result<Self> {
         let arrivals: Arc<Mutex<Vec<Arrival>>> = Arc::default();
         let mut addresses = Vec::with_capacity(count);
@@ -41,18 +42,18 @@
         Ok(Self { addresses, arrivals })
     }
 
-    /// Returns the address of each group.
+    /// Returns the addresses of the groups, in the order of their indices.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Returns the requests so far.
+    /// Returns all requests that the servers have received so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Serves each connection in a thread of its own.
+/// Serves each connection in its own thread.
 fn accept_connections(listener: &TcpListener, group: usize, arrivals: &Arc<Mutex<Vec<Arrival>>>) {
     for stream in listener.incoming().map_while(Result::ok) {
         let arrivals = Arc::clone(arrivals);
@@ -60,7 +61,7 @@
     }
 }
 
-/// Responds to requests without a body until the connection ends.
+/// Records each request on a connection and responds to it, until the connection ends.
 fn serve_connection(stream: &TcpStream, group: usize, arrivals: &Mutex<Vec<Arrival>>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream);
--- a/crates/testbed/src/shim.rs
+++ b/crates/testbed/src/shim.rs
@@ -1,5 +1,6 @@
-//! A library that makes system calls of a process fail in ways that their documentation allows. It is built
-//! with the system's C compiler when it is needed.
+//! Builds and configures a preloaded library that makes network calls of a process fail in ways that their
+//! manual pages allow, and steps its wall clock. The library is built with the C compiler `cc` when a test
+//! needs it.
 
 use std::ffi::OsString;
 use std::io;
@@ -8,25 +9,26 @@
 
 const SOURCE: &str = include_str!("../shims/system_faults.c");
 
-/// Which system calls of a process fail.
+/// Faults that the library injects into a process.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemFaults {
-    /// How many of a thousand calls fail.
+    /// How many of a thousand network calls fail, on average.
     pub per_mille: u32,
-    /// The seed that chooses the calls.
+    /// Seed of the random numbers that choose the failing calls and the clock steps.
     pub seed: u64,
-    /// The wall clock is stepped now and then, by seconds or an hour.
+    /// Whether the wall clock is stepped at random, forward or back by 5 s to about an hour.
     pub steps_clock: bool,
 }
 
-/// The built library.
+/// The compiled library.
 #[derive(Clone, Debug)]
 pub struct Shim {
     library: PathBuf,
 }
 
 impl Shim {
-    /// Builds the library in a folder. Fails if the folder cannot be written or the compiler fails.
+    /// Compiles the library in an existing directory. Returns an error if the directory cannot be written to
+    /// or the compiler fails.
     pub fn build(folder: &Path) -> io::Result<Self> {
         let source = folder.join("system_faults.c");
         let library = folder.join("system_faults.so");
@@ -37,10 +39,14 @@
             .arg(&source)
             .arg("-ldl")
             .status()?;
-        if status.success() { Ok(Self { library }) } else { Err(io::Error::other(format!("cc: {status}"))) }
+        if status.success() {
+            Ok(Self { library })
+        } else {
+            Err(io::Error::other(format!("the C compiler failed to build system_faults.c: {status}")))
+        }
     }
 
-    /// Returns the environment variables that load the library into a process, with these faults.
+    /// Returns the environment variables with which a process loads the library and gets these faults.
     pub fn environment(&self, faults: SystemFaults) -> Vec<(&'static str, OsString)> {
         vec![
             ("LD_PRELOAD", self.library.clone().into_os_string()),
