--- a/crates/testbed/src/registry.rs
+++ b/crates/testbed/src/registry.rs
@@ -1,71 +1,72 @@
-//! The list of servers as discovery has it, in versions, and its form on the wire.
+//! The endpoint list of discovery with its versions, and its JSON form on the wire.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Whether a server takes requests.
+/// Whether a server accepts requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum ServerState {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes the requests it has and must get no new ones.
+    /// The server finishes the requests that it has received and must not get new ones.
     #[serde(rename = "Terminating")]
     Draining,
 }
 
-/// A server in the list. Field names on the wire are those of discovery.
+/// A server in the endpoint list. Most fields have another name on the wire.
 #[derive(Clone, Debug, Serialize)]
 pub struct Server {
-    /// Its id, the same for all balancers.
+    /// Identifier, which is the same for all balancers.
     #[serde(rename = "uid")]
     pub id: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that the server is in.
     #[serde(rename = "az")]
     pub zone: &'static str,
-    /// Its kind of hardware.
+    /// Hardware model that the server runs on.
     #[serde(rename = "model")]
     pub hardware: &'static str,
-    /// Its cell.
+    /// Cell that the server belongs to.
     #[serde(rename = "pod_group")]
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub state: ServerState,
-    /// Its weight.
+    /// Weight of the server; the setting `weight_kind` of the balancer defines its meaning.
     #[serde(rename = "capacity_hint")]
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// When the server last started, in Unix time; 0 stands for long ago.
     #[serde(rename = "boot_ms")]
-    pub started_at_ms: u64,
+    pub started_at_unix_ms: u64,
 }
 
-/// The part of the list that an update holds.
+/// The part of the endpoint list that an update contains.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpdateScope {
-    /// The complete list.
+    /// The complete endpoint list.
     Snapshot {
-        /// Draining servers are in the list. If they are not, a balancer has to take them for removed.
+        /// Whether draining servers are included. If they are not, a balancer must treat them as removed.
         include_draining: bool,
     },
     /// The servers that changed after a version.
     Delta {
-        /// The version.
+        /// Version after which the changes are included.
         since: u64,
     },
 }
 
-/// An update of the list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListUpdate {
-    /// The update as JSON, in discovery's form.
+    /// The update in the JSON form of discovery.
     pub json: String,
-    /// The version that it leads to.
+    /// Version of the endpoint list after the update.
     pub version: u64,
 }
 
+/// The JSON form of an update.
 #[derive(Serialize)]
 struct ListMessage<'a> {
     #[serde(rename = "rev")]
@@ -76,26 +77,26 @@
     servers: Vec<&'a Server>,
 }
 
-/// All servers, and which of them changed in each version.
+/// All servers, the current version of the endpoint list, and the changes that led to it.
 pub struct Registry {
     servers: Vec<Server>,
     version: u64,
-    /// The indices of the servers that changed in each version.
+    /// Indices of the changed servers, by the version that the change led to.
     changes: BTreeMap<u64, Vec<usize>>,
 }
 
 impl Registry {
-    /// Creates a registry of servers, in version 1.
+    /// Creates a registry of these servers, in version 1.
     pub fn new(servers: Vec<Server>) -> Self {
         Self { servers, version: 1, changes: BTreeMap::new() }
     }
 
-    /// Returns the current version.
+    /// Returns the current version, which grows by 1 with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies a change to the servers at these indices, as a new version.
+    /// Applies a change to the servers at these indices and increments the version.
     pub fn change(&mut self, indices: Vec<usize>, apply: impl Fn(&mut Server)) {
         for index in &indices {
             apply(&mut self.servers[*index]);
@@ -104,13 +105,13 @@
         self.changes.insert(self.version, indices);
     }
 
-    /// Returns an update to the current version.
+    /// Returns an update that leads to the current version.
     pub fn update(&self, scope: UpdateScope) -> ListUpdate {
         let message = match scope {
             UpdateScope::Snapshot { include_draining } => self.snapshot(include_draining),
             UpdateScope::Delta { since } => self.delta(since),
         };
-        let json = serde_json::to_string(&message).expect("a list has a form in JSON");
+        let json = serde_json::to_string(&message).expect("an endpoint list can be serialized as JSON");
         ListUpdate { json, version: self.version }
     }
 
--- a/crates/testbed/src/shutdown/clients.rs
+++ b/crates/testbed/src/shutdown/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that go on using each connection until it ends.
+//! Clients that use each connection until it ends, and connections without requests.
 
 use super::plan::{Class, Plan};
 use crate::message::Message;
@@ -8,36 +8,38 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for a response: longer than any run.
+/// How long a client waits for a response. This is longer than any run.
 const READ_TIMEOUT: Duration = Duration::from_secs(12);
+/// Upper bound of the pause between a response and the next request.
 const MAX_PAUSE_MS: u64 = 30;
-/// Pause before the next connection after one has ended.
+/// Pause before a new connection is opened after the previous one has ended.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(5);
 
-/// What became of a request.
+/// A request that a client has sent, and its response.
 #[derive(Clone, Debug)]
 pub(super) struct SentRequest {
     pub(super) correlation_id: String,
-    /// How long the client waits.
-    pub(super) time_left: Duration,
-    /// When its last byte was written.
+    /// Time left for the response when the request is sent, as stated in `X-Time-Left-Ms`.
+    pub(super) deadline: Duration,
+    /// When the last byte of the request was written.
     pub(super) sent_at: Instant,
-    /// The status of the response, and when its last byte came; `None` if the connection ended instead.
+    /// Status of the response and the time of its last byte; `None` if no complete response came.
     pub(super) response: Option<(u16, Instant)>,
 }
 
-/// When new connections end; `None` while they may come.
+/// Time after which clients open no new connections; `None` until it is set.
 type ConnectUntil = Arc<Mutex<Option<Instant>>>;
 
 /// The running clients.
 pub(super) struct Clients {
     connect_until: ConnectUntil,
     threads: Vec<JoinHandle<Vec<SentRequest>>>,
-    /// Connections that carry no request.
-    _idle: Vec<TcpStream>,
+    /// Connections on which no requests are sent.
+    _idle_connections: Vec<TcpStream>,
 }
 
 impl Clients {
+    /// Opens the idle connections and starts the clients of a plan.
     pub(super) fn start(address: SocketAddr, plan: &Plan) -> Self {
         let connect_until = ConnectUntil::default();
         let idle = (0..plan.idle_clients).filter_map(|_| TcpStream::connect(address).ok()).collect();
@@ -53,15 +55,16 @@
             thread::spawn(move || client.run())
         };
         let threads = (0..plan.clients).map(client).collect();
-        Self { connect_until, threads, _idle: idle }
+        Self { connect_until, threads, _idle_connections: idle }
     }
 
-    /// Ends new connections at this time. Those that are open are used as long as they stay so.
+    /// Makes the clients open no new connections from this time on. They use open connections until these
+    /// end.
     pub(super) fn stop_connecting_at(&self, time: Instant) {
         *self.connect_until.lock().unwrap_or_else(PoisonError::into_inner) = Some(time);
     }
 
-    /// Waits until all connections have ended. Returns all requests.
+    /// Waits until all clients have ended, and returns all requests that they have sent.
     pub(super) fn finish(self) -> Vec<SentRequest> {
         self.threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
     }
@@ -80,8 +83,8 @@
     fn run(mut self) -> Vec<SentRequest> {
         while self.may_connect() {
             if let Ok(stream) = TcpStream::connect(self.address) {
-                // Any error is the end of the connection, and is recorded with its request.
-                let _ = self.use_connection(&stream);
+                // An error only ends the connection. A request that got no response has been recorded.
+                let _ = self.send_on_connection(&stream);
             }
             thread::sleep(RECONNECT_PAUSE);
         }
@@ -94,20 +97,20 @@
     }
 
     /// Sends requests one after another until the connection ends.
-    fn use_connection(&mut self, stream: &TcpStream) -> io::Result<()> {
+    fn send_on_connection(&mut self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut reader = BufReader::new(stream);
         loop {
             let class = self.classes[self.random.usize(..self.classes.len())].clone();
             let correlation_id = format!("c{}-{}", self.number, self.requests.len());
-            let text = request_text(&class, &correlation_id);
+            let text = format_request(&class, &correlation_id);
             (&mut &*stream).write_all(text.as_bytes())?;
             let sent_at = Instant::now();
             let received = Message::read(&mut reader);
             let status = received.as_ref().ok().and_then(Option::as_ref).and_then(Message::status);
             let response = status.map(|status| (status, Instant::now()));
-            self.requests.push(SentRequest { correlation_id, time_left: class.deadline, sent_at, response });
+            self.requests.push(SentRequest { correlation_id, deadline: class.deadline, sent_at, response });
             if received?.is_none() {
                 return Ok(());
             }
@@ -116,7 +119,7 @@
     }
 }
 
-fn request_text(class: &Class, correlation_id: &str) -> String {
+fn format_request(class: &Class, correlation_id: &str) -> String {
     let Class { name, retry_safety, deadline } = class;
     let common = format!(
         "Host: app.svc\r\nX-Correlation-Id: {correlation_id}\r\nX-Account: acme\r\nX-Time-Left-Ms: {}\r\n",
--- a/crates/testbed/src/shutdown/verdict.rs
+++ b/crates/testbed/src/shutdown/evaluation.rs
@@ -1,4 +1,4 @@
-//! Which requests of a run were lost.
+//! Finds the requests of a run that were lost.
 
 use super::Report;
 use super::clients::SentRequest;
@@ -7,34 +7,35 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// How late a final response may be.
-const MAX_DELAY: Duration = Duration::from_millis(500);
+/// How long after the deadline of a request its response may arrive without counting as late.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(500);
 const STATUS_OK: u16 = 200;
 
-/// Why a request counts as lost.
+/// The reason why a request counts as lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossCause {
-    /// It was forwarded: an upstream got it, and its client got no response.
+    /// An upstream received the request, but the client got no response.
     Forwarded,
-    /// The balancer read it, and its client got no response.
+    /// The balancer read the request, and no upstream received it, but the client got no response.
     Read,
-    /// Its response came too late.
+    /// The client got a response, but too long after the deadline.
     Late,
 }
 
 /// A request that was lost.
 #[derive(Clone, Debug)]
 pub struct LostRequest {
-    /// Its id, by which the log of the process tells its story.
+    /// Correlation id of the request, as in the log of the process.
     pub correlation_id: String,
-    /// Why it counts as lost.
+    /// Why the request counts as lost.
     pub cause: LossCause,
-    /// What the process logged of it.
+    /// Log lines of the process that contain the correlation id.
     pub log: Vec<String>,
 }
 
-/// Judges a run by what clients and upstreams saw and by what the process logged as read.
-pub(super) fn report(
+/// Creates the report of a run. A request counts as lost if its response was late, or if it got no response
+/// and either reached an upstream or is in the log, which shows that the balancer has read it.
+pub(super) fn evaluate(
     plan: &Plan,
     requests: &[SentRequest],
     arrivals: &HashSet<String>,
@@ -46,7 +47,7 @@
     let mut not_read = 0;
     for request in requests {
         let lines = || log.iter().filter(|line| line.contains(&format!("\"{}\"", request.correlation_id)));
-        let cause = loss_cause(request, arrivals, || lines().next().is_some());
+        let cause = find_loss_cause(request, arrivals, || lines().next().is_some());
         not_read += usize::from(cause.is_none() && request.response.is_none());
         if let Some(cause) = cause {
             let correlation_id = request.correlation_id.clone();
@@ -66,14 +67,14 @@
     }
 }
 
-fn loss_cause(
+fn find_loss_cause(
     request: &SentRequest,
     arrivals: &HashSet<String>,
     was_read: impl Fn() -> bool,
 ) -> Option<LossCause> {
     match request.response {
         Some((_, received_at)) => {
-            let is_late = received_at > request.sent_at + request.time_left + MAX_DELAY;
+            let is_late = received_at > request.sent_at + request.deadline + DEADLINE_TOLERANCE;
             is_late.then_some(LossCause::Late)
         }
         None if arrivals.contains(&request.correlation_id) => Some(LossCause::Forwarded),
--- a/crates/testbed/src/shutdown/mod.rs
+++ b/crates/testbed/src/shutdown/mod.rs
@@ -1,17 +1,20 @@
-//! A soak test of the end of a process: it gets SIGTERM under traffic and SIGKILL at the earliest moment that
-//! the platform allows, while clients go on using the connections that stay open.
+//! Soak test of the shutdown of a single balancer process.
 //!
-//! - `plan`: what a seed draws;
-//! - `upstreams`: upstreams that respond at once, late or never, and record what they got;
-//! - `clients`: clients that use their connections to the end, and a crowd of idle ones;
-//! - `verdict`: which requests were lost.
+//! It guards against requests that the process has read, but that get no response, or a late one, because the
+//! process is shutting down. The process gets SIGTERM under traffic, and SIGKILL at the earliest time at
+//! which the platform may send it. Meanwhile, clients go on using the connections that stay open.
+//!
+//! - `plan`: draws the parameters of a run from a seed;
+//! - `upstreams`: upstreams that respond immediately, with a delay or never, and record the requests;
+//! - `clients`: clients that use each connection until it ends, and idle connections;
+//! - `evaluation`: finds the requests that were lost.
 
 mod clients;
+mod evaluation;
 mod plan;
 mod upstreams;
-mod verdict;
 
-pub use verdict::LostRequest;
+pub use evaluation::LostRequest;
 
 use crate::agent::{Agent, AgentFaults};
 use crate::balancer_process::{BalancerProcess, ProcessOptions, Signal};
@@ -19,43 +22,46 @@
 use crate::shared_registry::SharedRegistry;
 use crate::shim::{Shim, SystemFaults};
 use clients::Clients;
-use plan::{Plan, SignalAt};
+use plan::{Plan, ScheduledSignal};
 use std::io;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 use upstreams::Upstreams;
 
-/// Discovery without faults: this soak is about the shutdown.
+/// The discovery agent injects no faults, because this test is about the shutdown only.
 const NO_AGENT_FAULTS: AgentFaults =
     AgentFaults { truncated_update: 0.0, closed_watch: 0.0, snapshot: 0.0, max_chunk_bytes: 64 * 1024 };
-/// The longest deadline that the platform counts before it kills a process.
+/// The platform counts longer deadlines as this one when it determines the time of SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time between the longest deadline and the kill.
+/// Time between the end of the longest deadline, counted from SIGTERM, and SIGKILL.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
 /// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// What the seed drew, for people.
+    /// The plan that was drawn from the seed, as text for a reader.
     pub plan: String,
-    /// Requests that were sent.
+    /// Number of requests that clients sent.
     pub requests: usize,
-    /// Requests that got status 200.
+    /// Number of requests that got a response with status 200.
     pub served: usize,
-    /// Requests that got no response and were not lost: the balancer had not read them.
+    /// Number of requests that got no response, but do not count as lost, because the balancer had not read
+    /// them.
     pub not_read: usize,
-    /// Requests that were lost.
+    /// Requests that got a late response, or none although the balancer had read them.
     pub lost: Vec<LostRequest>,
-    /// The process ended before SIGTERM, or with an error.
+    /// Whether the process ended before SIGTERM, or ended with an error.
     pub has_crashed: bool,
-    /// The process had not ended by itself when it was killed.
+    /// Whether the process was still running at the time of SIGKILL.
     pub was_killed: bool,
 }
 
-/// Runs the plan that a seed draws. `folder` holds the configuration meanwhile.
+/// Runs the plan that is drawn from `seed`. `program` is the executable of the balancer, and `folder` an
+/// existing directory for its configuration file and the shim.
 ///
-/// Fails if a stand-in or the process cannot be started or controlled.
+/// Returns an error if a stand-in or the balancer process cannot be started or controlled. Faults of the
+/// balancer are in the report instead.
 pub fn run(seed: u64, program: &Path, folder: &Path) -> io::Result<Report> {
     let plan = Plan::draw(seed);
     let upstreams = Upstreams::start(&plan)?;
@@ -77,33 +83,35 @@
     })?;
     let address = process.wait_until_serving()?;
     let clients = Clients::start(address, &plan);
-    thread::sleep(plan.traffic_before);
+    thread::sleep(plan.traffic_before_signals);
     let has_ended_early = process.has_ended()?;
     let terminated_at = send_signals(&process, &plan.signals)?;
-    clients.stop_connecting_at(terminated_at + plan.connections_come_for);
+    clients.stop_connecting_at(terminated_at + plan.new_connections_after_sigterm);
     let kill_at = terminated_at + plan.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE;
     thread::sleep(kill_at.saturating_duration_since(Instant::now()));
-    let ended = process.kill_and_wait()?;
+    let process_end = process.kill_and_wait()?;
     let requests = clients.finish();
     let log = process.complete_log();
-    Ok(verdict::report(&plan, &requests, &upstreams.arrivals(), &log, ended, has_ended_early))
+    Ok(evaluation::evaluate(&plan, &requests, &upstreams.arrivals(), &log, process_end, has_ended_early))
 }
 
-/// Sends a series of signals. Returns when SIGTERM was sent first.
-fn send_signals(process: &BalancerProcess, signals: &[SignalAt]) -> io::Result<Instant> {
+/// Sends the signals of a plan. Returns the time of the first SIGTERM.
+fn send_signals(process: &BalancerProcess, signals: &[ScheduledSignal]) -> io::Result<Instant> {
     let began_at = Instant::now();
     let mut terminated_at = None;
-    for SignalAt { after, signal } in signals {
-        thread::sleep((began_at + *after).saturating_duration_since(Instant::now()));
+    for ScheduledSignal { offset, signal } in signals {
+        thread::sleep((began_at + *offset).saturating_duration_since(Instant::now()));
         if *signal == Signal::Terminate {
             terminated_at.get_or_insert_with(Instant::now);
         }
-        // The process may have ended by itself behind SIGTERM.
+        // A signal after SIGTERM may fail because the process has already ended.
         if process.signal(*signal).is_err() && terminated_at.is_none() {
-            return Err(io::Error::other("the process has ended before SIGTERM"));
+            return Err(io::Error::other(
+                "sending a signal before SIGTERM failed; the balancer process may have ended",
+            ));
         }
     }
-    terminated_at.ok_or_else(|| io::Error::other("a plan without SIGTERM"))
+    terminated_at.ok_or_else(|| io::Error::other("the signals to send contain no SIGTERM"))
 }
 
 fn servers(upstreams: &Upstreams) -> Vec<Server> {
@@ -115,7 +123,7 @@
         cell: 0,
         state: ServerState::Ready,
         weight: 1.0,
-        started_at_ms: 0,
+        started_at_unix_ms: 0,
     };
     upstreams.addresses().iter().copied().enumerate().map(server).collect()
 }
--- a/crates/testbed/src/shutdown/plan.rs
+++ b/crates/testbed/src/shutdown/plan.rs
@@ -1,25 +1,28 @@
-//! What a seed draws. A seed stands for a certain sequence of draws: their order must stay.
+//! The parameters of a run. A seed stands for a certain sequence of draws, so the order of the draws must not
+//! change.
 
 use crate::balancer_process::Signal;
 use serde_json::{Value, json};
 use std::time::Duration;
 
+/// Values from which the longest deadline of the request classes is drawn.
 const DEADLINES_MS: [u64; 7] = [50, 100, 250, 600, 1200, 2500, 4000];
+/// Values of the setting `effect`, one for each request class.
 const RETRY_SAFETIES: [&str; 3] = ["idempotent", "at_most_once", "deduplicated"];
-const UPSTREAMS: usize = 6;
-/// The crowd of some runs.
-const IDLE_CLIENTS: usize = 120;
+const UPSTREAM_COUNT: usize = 6;
+/// Number of idle connections in the runs that have any.
+const IDLE_CLIENT_COUNT: usize = 120;
 
-/// How an upstream responds.
+/// When an upstream responds to a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Behavior {
-    AtOnce,
-    /// After a time up to this one.
-    Late(Duration),
+pub(super) enum ResponseTiming {
+    Immediate,
+    /// The upstream responds after a random delay of at most this duration.
+    Delayed(Duration),
     Never,
 }
 
-/// A class of requests.
+/// A request class in the settings of the balancer.
 #[derive(Clone, Debug)]
 pub(super) struct Class {
     pub(super) name: String,
@@ -27,50 +30,58 @@
     pub(super) deadline: Duration,
 }
 
-/// A signal and when it is sent, from the first one on.
+/// A signal, and the time from the first signal of the run until it is sent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SignalAt {
-    pub(super) after: Duration,
+pub(super) struct ScheduledSignal {
+    pub(super) offset: Duration,
     pub(super) signal: Signal,
 }
 
-/// What happens in a run.
+/// The parameters of a run, as a seed determines them.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub(super) seed: u64,
     pub(super) classes: Vec<Class>,
-    pub(super) upstreams: Vec<Behavior>,
+    pub(super) upstreams: Vec<ResponseTiming>,
     pub(super) clients: usize,
+    /// Number of connections on which no requests are sent.
     pub(super) idle_clients: usize,
-    /// How long there is traffic before the first signal.
-    pub(super) traffic_before: Duration,
-    pub(super) signals: Vec<SignalAt>,
-    /// How long new connections come behind SIGTERM.
-    pub(super) connections_come_for: Duration,
+    /// How long clients send requests before the first signal.
+    pub(super) traffic_before_signals: Duration,
+    /// Signals to the process, in the order in which they are sent.
+    pub(super) signals: Vec<ScheduledSignal>,
+    /// How long clients open new connections after SIGTERM.
+    pub(super) new_connections_after_sigterm: Duration,
     pub(super) system_faults_per_mille: u32,
     pub(super) steps_clock: bool,
 }
 
 impl Plan {
+    /// Draws a plan from a seed.
     pub(super) fn draw(seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let longest = DEADLINES_MS[random.usize(..DEADLINES_MS.len())];
+        let longest_deadline_ms = DEADLINES_MS[random.usize(..DEADLINES_MS.len())];
         let classes = RETRY_SAFETIES.into_iter().enumerate().map(|(index, retry_safety)| {
-            let deadline_ms = if index == 0 { longest } else { (longest * random.u64(3..=10) / 10).max(50) };
+            let deadline_ms = if index == 0 {
+                longest_deadline_ms
+            } else {
+                (longest_deadline_ms * random.u64(3..=10) / 10).max(50)
+            };
             let deadline = Duration::from_millis(deadline_ms);
             Class { name: format!("class{index}"), retry_safety, deadline }
         });
         let classes = classes.collect();
-        let upstreams = (0..UPSTREAMS).map(|_| draw_behavior(&mut random, longest)).collect();
+        let upstreams =
+            (0..UPSTREAM_COUNT).map(|_| draw_response_timing(&mut random, longest_deadline_ms)).collect();
         Self {
             seed,
             classes,
             upstreams,
             clients: random.usize(4..14),
-            idle_clients: if random.u8(..3) == 0 { IDLE_CLIENTS } else { 0 },
-            traffic_before: Duration::from_millis(random.u64(200..700)),
+            idle_clients: if random.u8(..3) == 0 { IDLE_CLIENT_COUNT } else { 0 },
+            traffic_before_signals: Duration::from_millis(random.u64(200..700)),
             signals: draw_signals(&mut random),
-            connections_come_for: Duration::from_millis(random.u64(200..=400)),
+            new_connections_after_sigterm: Duration::from_millis(random.u64(200..=400)),
             system_faults_per_mille: if random.bool() { 20 } else { 0 },
             steps_clock: random.bool(),
         }
@@ -80,7 +91,7 @@
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// The classes in the form of the settings.
+    /// Returns the request classes in the JSON form of the settings.
     pub(super) fn classes_json(&self) -> Value {
         let classes = self.classes.iter().map(|class| {
             let deadline_ms = class.deadline.as_millis() as u64;
@@ -93,27 +104,28 @@
     }
 }
 
-fn draw_behavior(random: &mut fastrand::Rng, longest_ms: u64) -> Behavior {
+/// Draws when an upstream responds. Delays can be longer than the longest deadline.
+fn draw_response_timing(random: &mut fastrand::Rng, longest_deadline_ms: u64) -> ResponseTiming {
     match random.u8(..4) {
-        0 | 1 => Behavior::AtOnce,
-        2 => Behavior::Late(Duration::from_millis(longest_ms * random.u64(2..14) / 10)),
-        _ => Behavior::Never,
+        0 | 1 => ResponseTiming::Immediate,
+        2 => ResponseTiming::Delayed(Duration::from_millis(longest_deadline_ms * random.u64(2..14) / 10)),
+        _ => ResponseTiming::Never,
     }
 }
 
-/// SIGTERM, in some runs more than once, with SIGHUP before it and behind it.
-fn draw_signals(random: &mut fastrand::Rng) -> Vec<SignalAt> {
+/// Draws the signals: up to two SIGHUPs, one SIGTERM, and up to three more SIGTERMs or SIGHUPs.
+fn draw_signals(random: &mut fastrand::Rng) -> Vec<ScheduledSignal> {
     let mut signals = Vec::new();
-    let mut after = Duration::ZERO;
+    let mut offset = Duration::ZERO;
     for _ in 0..random.usize(..3) {
-        signals.push(SignalAt { after, signal: Signal::Hangup });
-        after += Duration::from_millis(random.u64(..80));
+        signals.push(ScheduledSignal { offset, signal: Signal::Hangup });
+        offset += Duration::from_millis(random.u64(..80));
     }
-    signals.push(SignalAt { after, signal: Signal::Terminate });
+    signals.push(ScheduledSignal { offset, signal: Signal::Terminate });
     for _ in 0..random.usize(..4) {
-        after += Duration::from_millis(random.u64(..150));
+        offset += Duration::from_millis(random.u64(..150));
         let signal = if random.bool() { Signal::Terminate } else { Signal::Hangup };
-        signals.push(SignalAt { after, signal });
+        signals.push(ScheduledSignal { offset, signal });
     }
     signals
 }
--- a/crates/testbed/src/shutdown/upstreams.rs
+++ b/crates/testbed/src/shutdown/upstreams.rs
@@ -1,6 +1,6 @@
-//! Upstreams that respond at once, late or never.
+//! Upstreams that respond immediately, with a delay or never.
 
-use super::plan::{Behavior, Plan};
+use super::plan::{Plan, ResponseTiming};
 use crate::message::Message;
 use std::collections::HashSet;
 use std::io::{self, BufReader, Write};
@@ -11,10 +11,10 @@
 
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// The correlation ids of the requests that came completely.
+/// Correlation ids of the requests that upstreams have read completely.
 type Arrivals = Arc<Mutex<HashSet<String>>>;
 
-/// All upstreams of a run. They listen until the process of the test ends.
+/// All upstreams of a run, which listen until the test process ends.
 pub(super) struct Upstreams {
     addresses: Vec<SocketAddr>,
     arrivals: Arrivals,
@@ -24,12 +24,12 @@
     pub(super) fn start(plan: &Plan) -> io::Result<Self> {
         let arrivals = Arrivals::default();
         let mut addresses = Vec::new();
-        for (index, behavior) in plan.upstreams.iter().copied().enumerate() {
+        for (index, response_timing) in plan.upstreams.iter().copied().enumerate() {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             addresses.push(listener.local_addr()?);
             let arrivals = Arc::clone(&arrivals);
             let seed = plan.seed ^ index as u64;
-            thread::spawn(move || accept_connections(&listener, behavior, seed, &arrivals));
+            thread::spawn(move || accept_connections(&listener, response_timing, seed, &arrivals));
         }
         Ok(Self { addresses, arrivals })
     }
@@ -43,18 +43,24 @@
     }
 }
 
-fn accept_connections(listener: &TcpListener, behavior: Behavior, seed: u64, arrivals: &Arrivals) {
+fn accept_connections(
+    listener: &TcpListener,
+    response_timing: ResponseTiming,
+    seed: u64,
+    arrivals: &Arrivals,
+) {
     for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
         let arrivals = Arc::clone(arrivals);
         let random = fastrand::Rng::with_seed(seed.wrapping_add((number as u64) << 8));
-        thread::spawn(move || serve_connection(&stream, behavior, random, &arrivals));
+        thread::spawn(move || serve_connection(&stream, response_timing, random, &arrivals));
     }
 }
 
-/// Serves requests until the connection ends.
+/// Records each request on a connection and responds to it as `response_timing` states, until the connection
+/// ends.
 fn serve_connection(
     stream: &TcpStream,
-    behavior: Behavior,
+    response_timing: ResponseTiming,
     mut random: fastrand::Rng,
     arrivals: &Arrivals,
 ) -> io::Result<()> {
@@ -62,12 +68,12 @@
     let mut reader = BufReader::new(stream);
     while let Some(request) = Message::read(&mut reader)? {
         arrivals.lock().unwrap_or_else(PoisonError::into_inner).insert(request.correlation_id);
-        match behavior {
-            Behavior::AtOnce => {}
-            Behavior::Late(longest) => {
-                thread::sleep(Duration::from_millis(random.u64(..=longest.as_millis() as u64)));
+        match response_timing {
+            ResponseTiming::Immediate => {}
+            ResponseTiming::Delayed(max_delay) => {
+                thread::sleep(Duration::from_millis(random.u64(..=max_delay.as_millis() as u64)));
             }
-            Behavior::Never => continue,
+            ResponseTiming::Never => continue,
         }
         (&mut &*stream).write_all(RESPONSE)?;
     }
--- a/crates/testbed/src/soak/faults.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -1,4 +1,5 @@
-//! The faults of a run. A seed stands for a certain sequence of draws: their order must stay.
+//! The faults of a run. A seed stands for a certain sequence of draws, so the order of the draws must not
+//! change.
 
 use super::fleet::{Fleet, draw_weight};
 use crate::agent::Agent;
@@ -10,25 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time for which a killed balancer is down.
+/// Upper bound of the time between the kill and the restart of a balancer.
 const MAX_DOWNTIME_MS: u64 = 400;
-/// How long a balancer is paused.
-const PAUSE: Duration = Duration::from_millis(150);
-/// How long discovery is stalled.
-const STALL_MS: Range<u64> = 500..4000;
-/// Time between two stalls of an agent, so that it can deliver what has changed meanwhile.
+/// Time for which a balancer is paused.
+const PAUSE_DURATION: Duration = Duration::from_millis(150);
+/// Bounds of the time for which a discovery agent is stalled.
+const STALL_DURATION_MS: Range<u64> = 500..4000;
+/// Shortest time between two stalls of an agent, so that it can send the changes made during the first stall.
 const MIN_TIME_BETWEEN_STALLS: Duration = Duration::from_secs(1);
-/// One server in so many gets another weight at once.
+/// Each change of weights applies to one in this many servers.
 const WEIGHT_CHANGE_STRIDE: usize = 4;
 
-/// A stall of a balancer's agent that has not ended.
+/// A stall of a discovery agent that has not ended.
 pub(super) struct ActiveStall {
     began: Instant,
-    due: Instant,
+    scheduled_end: Instant,
 }
 
 impl Fleet<'_> {
-    /// Injects one fault, drawn by the number of cases that it has below.
+    /// Injects a random fault. The number of values in the range of a fault determines its probability.
     pub fn inject_fault(&mut self) -> io::Result<()> {
         match self.random.u32(..16) {
             0..=4 => self.drain_group(),
@@ -42,10 +43,10 @@
         Ok(())
     }
 
-    /// Resumes the agents whose stall is due to end.
+    /// Resumes the agents whose stall has reached its scheduled end.
     pub fn end_due_stalls(&mut self) {
         let now = Instant::now();
-        self.end_stalls(|stall| stall.due <= now);
+        self.end_stalls(|stall| stall.scheduled_end <= now);
     }
 
     /// Resumes all stalled agents.
@@ -53,15 +54,15 @@
         self.end_stalls(|_| true);
     }
 
-    fn end_stalls(&mut self, has_ended: impl Fn(&ActiveStall) -> bool) {
+    fn end_stalls(&mut self, should_end: impl Fn(&ActiveStall) -> bool) {
         for index in 0..self.balancers.len() {
-            if let Some(stall) = self.balancers[index].stall.take_if(|stall| has_ended(stall)) {
+            if let Some(stall) = self.balancers[index].stall.take_if(|stall| should_end(stall)) {
                 self.resume_discovery(index, &stall);
             }
         }
     }
 
-    /// Resumes an agent and records the stall with all processes of its balancer.
+    /// Resumes the agent of a balancer and records the stall for all processes of this balancer.
     fn resume_discovery(&mut self, index: usize, stall: &ActiveStall) {
         let balancer = &mut self.balancers[index];
         balancer.agent.set_stalled(false);
@@ -77,7 +78,7 @@
         self.random.usize(..self.plan.balancers)
     }
 
-    /// Stalls a balancer's agent, unless it is stalled or has just been resumed.
+    /// Stalls the agent of a random balancer, unless it is stalled or has just been resumed.
     fn stall_discovery(&mut self) {
         let index = self.draw_balancer();
         let balancer = &mut self.balancers[index];
@@ -87,13 +88,13 @@
             return;
         }
         let began = Instant::now();
-        let due = began + Duration::from_millis(self.random.u64(STALL_MS));
+        let scheduled_end = began + Duration::from_millis(self.random.u64(STALL_DURATION_MS));
         balancer.agent.set_stalled(true);
-        balancer.stall = Some(ActiveStall { began, due });
+        balancer.stall = Some(ActiveStall { began, scheduled_end });
         self.report.discovery_stalls += 1;
     }
 
-    /// Moves a balancer's discovery to another agent, unless its agent is stalled.
+    /// Moves a random balancer to a new agent, unless its agent is stalled.
     fn move_discovery(&mut self) -> io::Result<()> {
         let index = self.draw_balancer();
         if self.balancers[index].stall.is_some() {
@@ -110,13 +111,14 @@
         Ok(())
     }
 
-    /// Pauses a balancer's process for a moment in which a group begins to drain.
+    /// Pauses the process of a random balancer for [`PAUSE_DURATION`]. A group may begin to drain during the
+    /// pause.
     fn pause_balancer(&mut self) -> io::Result<()> {
         let index = self.draw_balancer();
         let Some(running) = &self.balancers[index].running else { return Ok(()) };
         running.process.signal(Signal::Stop)?;
         self.drain_group();
-        thread::sleep(PAUSE);
+        thread::sleep(PAUSE_DURATION);
         self.report.pauses += 1;
         match &self.balancers[index].running {
             Some(running) => running.process.signal(Signal::Continue),
@@ -124,19 +126,20 @@
         }
     }
 
-    /// Kills a balancer and starts it again with the list that it had; a group may begin to drain in between.
+    /// Kills a random balancer and restarts it with the endpoint list from the time of the kill. A group may
+    /// begin to drain while the balancer is down.
     fn restart_balancer(&mut self) -> io::Result<()> {
         let index = self.draw_balancer();
-        self.kill(index)?;
-        let cached_endpoints = self.complete_list();
+        self.kill_balancer(index)?;
+        let cached_endpoints = self.endpoint_list_json();
         if self.random.bool() {
             self.drain_group();
         }
         thread::sleep(Duration::from_millis(self.random.u64(..MAX_DOWNTIME_MS)));
-        self.start(index, &cached_endpoints)
+        self.start_balancer(index, &cached_endpoints)
     }
 
-    /// Has a group drain, unless half of the groups or more do.
+    /// Makes a random group drain, unless at least half of the groups are draining.
     fn drain_group(&mut self) {
         let ready: Vec<usize> = (0..self.plan.groups).filter(|group| !self.is_draining(*group)).collect();
         if ready.len() * 2 <= self.plan.groups {
@@ -148,15 +151,15 @@
         self.set_group_state(group, ServerState::Draining);
     }
 
-    /// Has a draining group take requests again.
+    /// Makes a random draining group ready again.
     fn restore_group(&mut self) {
-        let open: Vec<usize> = (0..self.drain_periods.len())
-            .filter(|period| self.drain_periods[*period].ended.is_none())
+        let unfinished: Vec<usize> = (0..self.drain_periods.len())
+            .filter(|index| self.drain_periods[*index].ended.is_none())
             .collect();
-        if open.is_empty() {
+        if unfinished.is_empty() {
             return;
         }
-        let chosen = open[self.random.usize(..open.len())];
+        let chosen = unfinished[self.random.usize(..unfinished.len())];
         let period = &mut self.drain_periods[chosen];
         period.ended = Some(Instant::now());
         let group = period.group;
@@ -172,7 +175,7 @@
         self.registry.modify(|registry| registry.change(servers, |server| server.state = state));
     }
 
-    /// Changes the weights of many servers at once, as live weights do.
+    /// Changes the weights of many servers at once, as discovery does with live weights.
     fn change_weights(&mut self) {
         let first = self.random.usize(..WEIGHT_CHANGE_STRIDE);
         let servers = (first..self.plan.servers).step_by(WEIGHT_CHANGE_STRIDE).collect();
--- a/crates/testbed/src/soak/fleet.rs
+++ b/crates/testbed/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The servers, the discovery agents and the processes of a run.
+//! The servers, the discovery agents and the balancer processes of a run.
 
 use super::faults::ActiveStall;
 use super::{Plan, Report};
@@ -18,21 +18,23 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS_PER_BALANCER: usize = 2;
-/// Pause of a client between two requests.
+/// Pause of a client between a response and its next request.
 const REQUEST_PAUSE: Duration = Duration::from_millis(4);
-const CELLS: usize = 60;
-/// The least weight of a server, and the range above it.
+/// Number of cells to which the servers belong.
+const CELL_COUNT: usize = 60;
+/// Smallest weight of a server.
 const MIN_WEIGHT_THOUSANDTHS: f64 = 600.0;
+/// Difference between the largest and the smallest weight of a server.
 const WEIGHT_RANGE_THOUSANDTHS: f64 = 800.0;
 
-/// A run in progress.
+/// The state of a run.
 pub(super) struct Fleet<'a> {
     pub plan: Plan,
     pub random: fastrand::Rng,
     pub registry: Arc<SharedRegistry>,
     pub balancers: Vec<BalancerSlot>,
     pub drain_periods: Vec<DrainPeriod>,
-    /// All processes so far, by name.
+    /// All balancer processes that have been started, by name.
     pub processes: HashMap<String, ProcessHistory>,
     pub report: Report,
     program: &'a Path,
@@ -41,16 +43,16 @@
     groups: ServerGroups,
 }
 
-/// A balancer's agent, and its process while it runs.
+/// A balancer: its discovery agent, and its process while one is running.
 pub(super) struct BalancerSlot {
     pub agent: Agent,
     pub stall: Option<ActiveStall>,
-    /// When the latest stall of the agent ended.
+    /// When the latest stall of the discovery agent ended; `None` if there was none.
     pub resumed_at: Option<Instant>,
     pub running: Option<RunningBalancer>,
 }
 
-/// A process of a balancer with its clients.
+/// A running balancer process with its clients.
 pub(super) struct RunningBalancer {
     pub process: BalancerProcess,
     pub clients: Vec<Client>,
@@ -58,7 +60,7 @@
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts servers and agents, without balancers.
+    /// Starts the servers and the discovery agents, but no balancers.
     pub fn new(plan: Plan, seed: u64, program: &'a Path, folder: &'a Path) -> io::Result<Self> {
         let mut random = fastrand::Rng::with_seed(seed);
         let shim = if plan.system_faults_per_mille > 0 || plan.steps_clock {
@@ -92,17 +94,17 @@
         })
     }
 
-    /// Starts all balancers with the current list.
-    pub fn start_all(&mut self) -> io::Result<()> {
-        let cached_endpoints = self.complete_list();
+    /// Starts all balancers with the current endpoint list.
+    pub fn start_all_balancers(&mut self) -> io::Result<()> {
+        let cached_endpoints = self.endpoint_list_json();
         for index in 0..self.plan.balancers {
-            self.start(index, &cached_endpoints)?;
+            self.start_balancer(index, &cached_endpoints)?;
         }
         Ok(())
     }
 
-    /// Starts a balancer and its clients.
-    pub fn start(&mut self, index: usize, cached_endpoints: &str) -> io::Result<()> {
+    /// Starts a balancer with an endpoint list, waits until it serves, and starts its clients.
+    pub fn start_balancer(&mut self, index: usize, cached_endpoints: &str) -> io::Result<()> {
         let faults = SystemFaults {
             per_mille: self.plan.system_faults_per_mille,
             seed: self.random.u64(..),
@@ -133,10 +135,11 @@
         Ok(())
     }
 
-    /// Kills a balancer, if it runs, and records its responses and its log.
-    pub fn kill(&mut self, index: usize) -> io::Result<()> {
+    /// Stops the clients of a balancer, kills its process if it has one, and records the responses and the
+    /// log.
+    pub fn kill_balancer(&mut self, index: usize) -> io::Result<()> {
         let Some(mut running) = self.balancers[index].running.take() else { return Ok(()) };
-        // Clients stop between two requests: no request is cut off by the kill.
+        // The clients finish their current requests first, so the kill interrupts no request.
         for client in running.clients {
             self.report.responses.add(client.stop());
         }
@@ -148,16 +151,16 @@
         Ok(())
     }
 
-    /// Returns the complete list as JSON.
-    pub fn complete_list(&self) -> String {
+    /// Returns the current endpoint list, including draining servers, in the JSON form of discovery.
+    pub fn endpoint_list_json(&self) -> String {
         self.registry.update(UpdateScope::Snapshot { include_draining: true }).json
     }
 
-    /// Ends the run and checks what the servers received.
+    /// Ends the run and finds the requests that broke the drain rule.
     pub fn finish(mut self) -> io::Result<Report> {
         self.end_all_stalls();
         for index in 0..self.plan.balancers {
-            self.kill(index)?;
+            self.kill_balancer(index)?;
         }
         self.report.violations = drain_rule::find_violations(
             &self.groups.arrivals(),
@@ -169,6 +172,7 @@
     }
 }
 
+/// Starts the clients of a balancer process. Their correlation ids begin with the name of the process.
 fn start_clients(address: SocketAddr, process: &str) -> Vec<Client> {
     (0..CLIENTS_PER_BALANCER)
         .map(|number| Client::start(address, format!("{process}-c{number}"), REQUEST_PAUSE))
@@ -181,10 +185,10 @@
         address,
         zone: "a",
         hardware: "m",
-        cell: (index % CELLS) as u16,
+        cell: (index % CELL_COUNT) as u16,
         state: ServerState::Ready,
         weight: draw_weight(random),
-        started_at_ms: 0,
+        started_at_unix_ms: 0,
     }
 }
 
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,8 +1,12 @@
-//! A soak test: a fleet of servers against processes of the balancer, under faults drawn from a seed.
+//! Soak test of balancer processes in a fleet of servers, with faults drawn from a seed.
 //!
-//! - `fleet`: the servers, the discovery agents and the processes of a run;
-//! - `faults`: groups of servers drain and come back, weights change by the hundred, discovery moves or stalls, and
-//!   balancers are paused, or killed and restarted with the list that they had.
+//! It guards against balancer processes that go on sending requests to a draining server after they were
+//! notified, for example because a watch broke during the update, or because the process started with an old
+//! endpoint list.
+//!
+//! - `fleet`: the servers, the discovery agents and the balancer processes of a run;
+//! - `faults`: groups of servers drain and become ready again, weights of many servers change at once,
+//!   discovery moves or stalls, and balancers are paused, or killed and restarted with an old endpoint list.
 
 mod faults;
 mod fleet;
@@ -18,60 +22,61 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two faults.
+/// Bounds of the time between two faults.
 const FAULT_INTERVAL_MS: Range<u64> = 100..300;
 
 /// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Groups that share out the servers.
+    /// Number of groups among which the servers are divided.
     pub groups: usize,
-    /// Balancers.
+    /// Number of balancers, each with its own discovery agent.
     pub balancers: usize,
-    /// How long the run takes.
+    /// How long the run injects faults.
     pub duration: Duration,
-    /// How long after its notification a balancer may still send requests to a draining server.
+    /// How long after its notification a balancer process may still send requests to a draining server.
     pub drain_grace: Duration,
-    /// Faults of discovery.
+    /// Faults of the discovery agents.
     pub agent_faults: AgentFaults,
-    /// How many of a thousand system calls of a balancer fail.
+    /// How many of a thousand network calls of the balancer processes fail, on average.
     pub system_faults_per_mille: u32,
-    /// The wall clocks of the balancers are stepped.
+    /// Whether the wall clocks of the balancer processes are stepped.
     pub steps_clock: bool,
 }
 
 /// The result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Requests that reached a draining server too late.
+    /// Requests that reached a draining server after the grace period.
     pub violations: Vec<DrainViolation>,
-    /// How the requests of all clients ended.
+    /// Numbers of requests of all clients, by outcome.
     pub responses: ResponseCounts,
-    /// Processes that ended by themselves.
+    /// Number of balancer processes that ended before they were killed.
     pub crashes: usize,
-    /// Processes that were started.
+    /// Number of balancer processes that were started.
     pub starts: usize,
-    /// How often a group drained.
+    /// How often a group began to drain.
     pub drains: usize,
     /// How often a balancer was paused.
     pub pauses: usize,
-    /// How often a balancer's discovery moved.
+    /// How often a balancer was moved to another discovery agent.
     pub discovery_moves: usize,
-    /// How often a balancer's discovery stalled.
+    /// How often the discovery agent of a balancer was stalled.
     pub discovery_stalls: usize,
-    /// The log of each process, by its name.
+    /// Log lines of each balancer process, by the name of the process.
     pub logs: HashMap<String, Vec<String>>,
 }
 
-/// Runs a plan with a seed. `folder` holds the balancers' configurations meanwhile.
+/// Runs a plan with the faults that `seed` determines. `program` is the executable of the balancer, and
+/// `folder` an existing directory for its configuration files and the shim.
 ///
-/// Fails if a stand-in or a process of the balancer cannot be started or controlled. What balancers do wrong
-/// is in the report.
+/// Returns an error if a stand-in or a balancer process cannot be started or controlled. Faults of the
+/// balancers are in the report instead.
 pub fn run(plan: Plan, seed: u64, program: &Path, folder: &Path) -> io::Result<Report> {
     let mut fleet = Fleet::new(plan, seed, program, folder)?;
-    fleet.start_all()?;
+    fleet.start_all_balancers()?;
     let end = Instant::now() + plan.duration;
     while Instant::now() < end {
         thread::sleep(Duration::from_millis(fleet.random.u64(FAULT_INTERVAL_MS)));
--- a/crates/testbed/tests/drain_rule.rs
+++ b/crates/testbed/tests/drain_rule.rs
@@ -1,4 +1,6 @@
-//! Which requests count as violations of the drain rule.
+//! Tests of the drain rule: a request that reaches a draining group more than 300 ms after its balancer
+//! process was notified is a violation. An error in the rule would hide violations in the soak tests, or
+//! report requests of processes that had not been notified.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,7 +11,7 @@
 const GROUP: usize = 5;
 const PROCESS: &str = "b0r0";
 
-/// Times in milliseconds after the start of the test.
+/// Converts milliseconds since the start of the test into instants.
 struct Timeline {
     origin: Instant,
 }
@@ -23,7 +25,8 @@
         self.origin + Duration::from_millis(ms)
     }
 
-    /// A process that was started at 0, with stalls of its discovery.
+    /// Returns a process that was started at 0 ms, with stalls of its discovery that begin and end at these
+    /// times.
     fn process(&self, stalls: &[(u64, u64)]) -> ProcessHistory {
         let stall =
             |(began, ended): &(u64, u64)| DiscoveryStall { began: self.at(*began), ended: self.at(*ended) };
@@ -31,7 +34,8 @@
         ProcessHistory { balancer: 0, started_at: self.origin, discovery_stalls }
     }
 
-    /// The violations by a request that arrives at `arrival_ms`, while the group drains from 1000 to 5000 ms.
+    /// Returns the violations if a request of the process arrives at `arrival_ms`. The group drains from 1 s
+    /// to 5 s.
     fn violations(&self, process: ProcessHistory, arrival_ms: u64) -> Vec<DrainViolation> {
         self.violations_of(PROCESS, GROUP, process, arrival_ms)
     }
@@ -51,7 +55,7 @@
 }
 
 #[test]
-fn a_request_within_the_grace_is_permitted() {
+fn a_request_within_the_grace_period_is_permitted() {
     let time = Timeline::new();
 
     assert!(time.violations(time.process(&[]), 900).is_empty());
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn a_request_after_the_grace_is_a_violation() {
+fn a_request_after_the_grace_period_is_a_violation() {
     let time = Timeline::new();
 
     let violations = time.violations(time.process(&[]), 1301);
@@ -79,7 +83,7 @@
 }
 
 #[test]
-fn a_group_that_still_drains_has_no_end() {
+fn a_drain_period_without_an_end_covers_all_later_requests() {
     let time = Timeline::new();
     let arrival = Arrival { group: GROUP, correlation_id: format!("{PROCESS}-c0-1"), at: time.at(60_000) };
     let period = DrainPeriod { group: GROUP, began: time.at(1000), ended: None };
@@ -89,7 +93,7 @@
 }
 
 #[test]
-fn a_process_is_notified_at_its_start_at_the_earliest() {
+fn a_process_started_after_the_change_is_notified_at_its_start() {
     let time = Timeline::new();
     let process = || ProcessHistory { started_at: time.at(2000), ..time.process(&[]) };
 
@@ -98,7 +102,7 @@
 }
 
 #[test]
-fn a_process_is_notified_when_its_discovery_is_resumed() {
+fn a_process_with_stalled_discovery_is_notified_when_the_stall_ends() {
     let time = Timeline::new();
     let process = || time.process(&[(500, 2000), (2000, 3000)]);
 
@@ -107,14 +111,14 @@
 }
 
 #[test]
-fn a_stall_after_the_change_does_not_excuse() {
+fn a_stall_after_the_change_does_not_delay_the_notification() {
     let time = Timeline::new();
 
     assert_eq!(time.violations(time.process(&[(1100, 3000)]), 1301).len(), 1);
 }
 
 #[test]
-fn requests_to_other_groups_and_of_other_senders_are_skipped() {
+fn requests_to_other_groups_and_from_unknown_processes_are_ignored() {
     let time = Timeline::new();
 
     assert!(time.violations_of(PROCESS, GROUP + 1, time.process(&[]), 2000).is_empty());
--- a/crates/testbed/tests/registry.rs
+++ b/crates/testbed/tests/registry.rs
@@ -1,4 +1,5 @@
-//! The list of servers in discovery's form.
+//! Tests of endpoint list updates in the JSON form of discovery. A wrong update would make the soak tests
+//! check a balancer against an endpoint list that discovery would not send.
 
 use testbed::registry::{ListUpdate, Registry, Server, ServerState, UpdateScope};
 
@@ -14,11 +15,11 @@
         cell: 7,
         state: ServerState::Ready,
         weight: 1.5,
-        started_at_ms: 9,
+        started_at_unix_ms: 9,
     }
 }
 
-/// Three servers, of which the last began to drain in version 2.
+/// Returns a registry of three servers, of which the last began to drain in version 2.
 fn registry() -> Registry {
     let mut registry = Registry::new(vec![server("s-0"), server("s-1"), server("s-2")]);
     registry.change(vec![2], |server| server.state = ServerState::Draining);
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn an_update_has_the_names_and_the_order_of_the_wire() {
+fn an_update_has_the_field_names_and_the_order_of_discovery() {
     let update = registry().update(UpdateScope::Delta { since: 1 });
 
     let expected =
@@ -52,12 +53,12 @@
 }
 
 #[test]
-fn a_snapshot_may_leave_out_draining_servers() {
+fn a_snapshot_can_exclude_draining_servers() {
     assert_eq!(ids(&registry().update(WITHOUT_DRAINING)), ["s-0", "s-1"]);
 }
 
 #[test]
-fn a_delta_holds_each_server_that_changed_after_the_version_once() {
+fn a_delta_contains_each_server_changed_after_the_version_once() {
     let mut registry = registry();
     registry.change(vec![1, 0], |server| server.weight = 2.0);
     registry.change(vec![0], |server| server.weight = 3.0);
