--- a/crates/testbed/src/agent/watch.rs
+++ b/crates/testbed/src/agent/watch.rs
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Reads a call and returns the version of the endpoint list after which it requests changes.
+    /// Reads a call and returns the version of the endpoint list that the balancer has.
     fn read_call(&mut self) -> io::Result<u64> {
         let mut reader = BufReader::new(&self.stream);
         let mut request_line = String::new();
--- a/crates/testbed/src/soak/fleet.rs
+++ b/crates/testbed/src/soak/fleet.rs
@@ -46,9 +46,11 @@
 /// A balancer: its discovery agent, and its process while one is running.
 pub(super) struct BalancerSlot {
     pub agent: Agent,
+    /// The current stall of the discovery agent; `None` if it is not stalled.
     pub stall: Option<ActiveStall>,
     /// When the latest stall of the discovery agent ended; `None` if there was none.
     pub resumed_at: Option<Instant>,
+    /// The running process; `None` while the balancer is down.
     pub running: Option<RunningBalancer>,
 }
 
@@ -56,6 +58,7 @@
 pub(super) struct RunningBalancer {
     pub process: BalancerProcess,
     pub clients: Vec<Client>,
+    /// Name of the process, with which the correlation ids of its clients begin.
     pub name: String,
 }
 
