--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -50,7 +50,7 @@
     pub(crate) idle_connections: IdleDropDetector,
     pub(crate) last_tick_at: Timestamp,
     watch_schedule: WatchSchedule,
-    /// Expected requests per second at this balancer, derived from the tenants' quotas.
+    /// Requests per second that this balancer expects, derived from the tenants' quotas.
     expected_rate: f64,
     /// Whether the first event has been handled.
     started: bool,
@@ -78,9 +78,9 @@
         })
     }
 
-    /// Returns the number of entries in the balancer's state: upstreams (removed ones until they are
-    /// dropped), requests, and scheduled checks of attempts (until they are due, even if the attempt has
-    /// ended).
+    /// Returns the number of entries in the collections that hold the balancer's state: those of upstreams
+    /// (removed ones until they are dropped), of process starts of dropped upstreams, of requests, and of
+    /// scheduled checks of attempts (until they are due, even if the attempt has ended).
     pub fn state_entry_count(&self) -> usize {
         self.upstreams.state_entry_count() + self.requests.state_entry_count()
     }
@@ -98,7 +98,7 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Schedules the first tick and the first watch at the first event.
+    /// Schedules the first tick and the first watch. Runs at the first event.
     fn start(&mut self) {
         self.started = true;
         self.last_tick_at = self.now;
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Runs the periodic work: updates the weights, refills the token buckets, handles overdue attempts and
-    /// starts a watch if one is due.
+    /// Runs the periodic work: selects the subset again if that is due, updates the weights, refills the
+    /// token buckets, handles overdue attempts and starts a watch if one is due.
     fn tick(&mut self) {
         let seconds_since_last_tick = (self.now - self.last_tick_at).clamp(0.0, MAX_TICK_SECONDS);
         self.last_tick_at = self.now;
@@ -175,25 +175,26 @@
         self.update_weights(0.0);
     }
 
-    /// Updates the upstreams' weights, `elapsed` seconds after the last tick; 0 outside a tick.
-    fn update_weights(&mut self, elapsed: f64) {
+    /// Updates the upstreams' weights. `elapsed_seconds` is the time since the last tick, or 0 outside a
+    /// tick.
+    fn update_weights(&mut self, elapsed_seconds: f64) {
         self.upstreams.update_weights(&WeightInputs {
             now: self.now,
-            elapsed,
+            elapsed_seconds,
             settings: &self.settings,
             rate_per_weight: self.capacity.service_rate(),
             expected_rate: self.expected_rate,
         });
     }
 
-    /// Estimates the spare capacity and refills the token buckets, `elapsed` seconds after the last tick.
-    fn refill_buckets(&mut self, elapsed: f64) {
-        self.latency.decay(self.now, elapsed, &self.settings);
+    /// Estimates the spare capacity and refills the token buckets for the time since the last tick.
+    fn refill_buckets(&mut self, elapsed_seconds: f64) {
+        self.latency.decay(self.now, elapsed_seconds, &self.settings);
         let upstreams: Vec<&Upstream> = self.upstreams.subset_members().collect();
         let utilization = mean_utilization(upstreams.iter().copied(), self.now);
         let latency = self.latency.summary(&self.settings, utilization.is_some());
-        self.capacity.estimate(elapsed, &self.settings, &latency, utilization, &upstreams);
-        self.admission.refill(elapsed, &self.capacity);
+        self.capacity.estimate(elapsed_seconds, &self.settings, &latency, utilization, &upstreams);
+        self.admission.refill(elapsed_seconds, &self.capacity);
     }
 
     fn start_watch_if_due(&mut self) {
@@ -206,7 +207,8 @@
     }
 }
 
-/// Returns the expected requests per second at each balancer, derived from the tenants' finite quotas.
+/// Returns the expected requests per second at each balancer: an equal part of the sum of the tenants' finite
+/// quotas, or of 1 if the sum is lower.
 fn expected_rate(settings: &Settings) -> f64 {
     let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_second);
     let total: f64 = quotas.filter(|quota| quota.is_finite()).sum();
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -11,12 +11,12 @@
 use crate::settings::Settings;
 use crate::upstreams::Upstream;
 
-/// Time over which completions are averaged. A single tick contains too few of them.
+/// Time constant of the smoothed completion rate. A single tick contains too few completions.
 const COMPLETION_SMOOTHING_SECONDS: f64 = 1.0;
 /// Time constant with which the service rate rises if utilization is reported.
 const RATE_GAIN_SECONDS: f64 = 2.0;
 /// Time constant with which the service rate falls to a lower observed rate if utilization is not reported
-/// and latency is within its allowance.
+/// and no class exceeds its allowed mean latency.
 const RATE_DECAY_SECONDS: f64 = 30.0;
 /// CPU utilization up to which the upstreams are loaded.
 const TARGET_UTILIZATION: f64 = 0.8;
@@ -103,9 +103,9 @@
         self.update_spare(elapsed_seconds, f64::from(settings.balancers), allowed_latency_seconds, upstreams);
     }
 
-    /// Updates C from the observed rate, which is per unit of rotation weight. If utilization is reported or
-    /// latency exceeds its allowance, a lower rate is adopted at once, because requests that are admitted for
-    /// lost capacity fill the queues. Otherwise, a lower rate is adopted over [`RATE_DECAY_SECONDS`].
+    /// Updates C from the observed rate, which is per unit of rotation weight. A lower rate is adopted at
+    /// once if utilization is reported or a class exceeds its allowed mean latency, because requests that are
+    /// admitted for lost capacity fill the queues. Otherwise, it is adopted over [`RATE_DECAY_SECONDS`].
     fn update_rate(
         &mut self,
         elapsed_seconds: f64,
@@ -120,8 +120,8 @@
             let extrapolation_factor =
                 (target_utilization / utilization.max(MIN_UTILIZATION)).min(MAX_EXTRAPOLATION);
             let attainable_rate = observed_rate * extrapolation_factor;
-            // The rate falls with the load at once: a higher rate from earlier load would admit requests that
-            // slow down upstreams which are now busy.
+            // A lower rate is adopted at once. A rate that was reached under load must not outlast that load,
+            // because it would admit more requests than busy upstreams can serve fast.
             self.service_rate = (self.service_rate
                 + (elapsed_seconds / RATE_GAIN_SECONDS).min(1.0) * (attainable_rate - self.service_rate))
                 .min(attainable_rate);
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -38,8 +38,8 @@
 /// Time at which the process of an upstream last started, according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessStart {
-    /// The list states no time, or the process started long ago. An upstream that appears after the first
-    /// list is then assumed to have just started.
+    /// The list states no time, or the process started long ago. An upstream that is added while others are
+    /// known is then assumed to have just started.
     Unknown,
     /// Time on the embedder's clock.
     At(Duration),
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -8,7 +8,7 @@
 
 /// Shortest idle time after which a connection may have been dropped.
 const MIN_IDLE_SECONDS: f64 = 0.3;
-/// Time for which idle connections are closed before use after the latest sign of a drop.
+/// Time after the latest sign of a drop during which idle connections are closed instead of used.
 const SUSPICION_SECONDS: f64 = 15.0;
 /// Weight of the newest attempt in the moving averages of unanswered attempts.
 const NEWEST_ATTEMPT_WEIGHT: f64 = 0.2;
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -69,7 +69,7 @@
     admitted_share: f64,
 }
 
-/// Measured latency of an attempt, in seconds.
+/// How long an attempt took, in seconds, and how it ended.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum LatencySample {
     /// The upstream served the request after this time.
--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -82,8 +82,9 @@
         });
     }
 
-    /// Handles the end of an attempt: records it in the statistics, and finishes or retries its request
-    /// unless another attempt is in flight.
+    /// Handles the end of an attempt and records it in the statistics. Finishes its request if that has its
+    /// final response. Otherwise, retries the request or sends its final response, unless another attempt is
+    /// in flight.
     pub(crate) fn handle_attempt_end(
         &mut self,
         id: RequestId,
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -23,7 +23,7 @@
     pub(crate) in_flight: bool,
     /// Whether the upstream may have executed the request, according to the outcome. `false` while in flight.
     pub(crate) possibly_executed: bool,
-    /// Whether the attempt takes, or took, longer than is typical of its class.
+    /// Whether a check has found the attempt in flight for longer than most attempts of its class.
     pub(crate) overdue: bool,
     /// Time for which the upstream's connections had been idle when the attempt was sent.
     pub(crate) connection_idle_seconds: f64,
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -1,4 +1,6 @@
-//! Handling of overdue attempts, which take longer than is typical of their class.
+//! Handling of overdue attempts. An attempt is overdue when it has been in flight for longer than most
+//! attempts of its class; see
+//! [`overdue_after_seconds`](crate::latency::ClassLatency::overdue_after_seconds).
 
 use crate::action::Action;
 use crate::balancer::Balancer;
@@ -9,8 +11,8 @@
 use std::time::Duration;
 
 /// Minimum number of overdue attempts at an upstream that counts as unresponsive. The upstream must also have
-/// sent no response since the checked attempt was sent. Fewer can be normal, because one attempt in twenty
-/// exceeds the typical latency.
+/// sent no response since the checked attempt was sent. Fewer overdue attempts can be normal, because one
+/// attempt in twenty takes longer than the quantile from which attempts count as overdue.
 const MIN_OVERDUE_ATTEMPTS_IF_UNRESPONSIVE: u32 = 3;
 /// Minimum time until the next check, in seconds.
 const MIN_CHECK_DELAY_SECONDS: f64 = 1e-6;
@@ -40,9 +42,9 @@
         }
     }
 
-    /// Cancels an overdue attempt or schedules its next check, and hedges its request when the attempt has
-    /// just become overdue. The later checks are due when a retry would still be in time, and when the
-    /// response becomes useless.
+    /// Cancels an overdue attempt or schedules its next check. Then hedges its request, if hedging is
+    /// possible and the attempt has just become overdue. The later checks are due when the attempt is long
+    /// overdue, so that a retry would still be in time, and when the response becomes useless.
     fn handle_overdue_attempt(&mut self, check: OverdueCheck) {
         let Some(attempt) = self.mark_overdue(check) else { return };
         if self.should_cancel(&attempt) {
@@ -71,14 +73,14 @@
             upstream_is_unresponsive = upstream.outlier.last_response_at() <= attempt.sent_at
                 && upstream.overdue_attempts >= MIN_OVERDUE_ATTEMPTS_IF_UNRESPONSIVE;
         }
-        let long_overdue_after =
+        let long_overdue_after_seconds =
             self.latency.class(class).long_overdue_after_seconds(&self.settings.classes[class]);
         Some(OverdueAttempt {
             class,
             attempt_count,
             newly_overdue,
             upstream_is_unresponsive,
-            long_overdue_at: attempt.sent_at + long_overdue_after,
+            long_overdue_at: attempt.sent_at + long_overdue_after_seconds,
             useful_until,
             deadline,
         })
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -6,21 +6,21 @@
 use crate::settings::{DeduplicationScope, RetrySafety};
 use crate::upstreams::{Upstream, UpstreamPosition};
 
-/// Budget that a retry takes.
+/// Budget that a retry takes, in retries.
 pub(super) const RETRY_COST: f64 = 1.0;
-/// Budget that a retry takes if the previous attempt was not executed. The retry then adds no work to the
-/// upstreams.
+/// Budget that a retry takes, in retries, if the previous attempt was not executed. The retry then adds no
+/// work to the upstreams.
 pub(super) const RETRY_COST_NOT_EXECUTED: f64 = 0.1;
-/// Budget that a hedged request takes.
+/// Budget that a hedged request takes, in retries.
 pub(super) const HEDGE_COST: f64 = 1.0;
-/// Budget that each admitted request adds.
+/// Budget that each admitted request adds, in retries.
 const BUDGET_PER_ADMITTED_REQUEST: f64 = 0.1;
 /// Seconds in which the expected rate of requests fills an empty budget. The time is short because all
 /// balancers may spend their accumulated budgets at the same time.
 const BUDGET_FILL_SECONDS: f64 = 1.5;
-/// Minimum capacity of the budget, and its initial content.
+/// Minimum capacity of the budget, and its initial content, in retries.
 const MIN_BUDGET_CAPACITY: f64 = 1.0;
-/// Maximum capacity of the budget.
+/// Maximum capacity of the budget, in retries.
 const MAX_BUDGET_CAPACITY: f64 = 10.0;
 /// Maximum number of upstreams whose loads are compared for a retry.
 const MAX_CANDIDATES: usize = 6;
@@ -133,14 +133,14 @@
     fn may_take_retry(&self, request: &Request, upstream: &Upstream) -> bool {
         upstream.is_ready()
             && !self.is_warming_up(upstream)
-            && !upstream.outlier.is_ejected(self.now)
-            && !upstream.outlier.is_ejected_for(request.class)
+            && !upstream.outlier.is_ejected_for_all_classes(self.now)
+            && !upstream.outlier.is_ejected_for_class(request.class)
             && request.attempts.iter().all(|attempt| attempt.upstream != upstream.id)
             && self.is_retry_safe(request, upstream)
     }
 
-    /// Returns whether an upstream is in slow start. The state of slow start is updated only
-    /// within the subset; for other upstreams the elapsed time decides.
+    /// Returns whether an upstream is in slow start. The state of slow start is updated only for members of
+    /// the subset; for other upstreams, the elapsed time decides.
     fn is_warming_up(&self, upstream: &Upstream) -> bool {
         if upstream.in_subset {
             upstream.slow_start.is_active()
--- a/crates/core/src/round_robin.rs
+++ b/crates/core/src/round_robin.rs
@@ -1,5 +1,8 @@
 //! Weighted round robin with a look-ahead. An upstream whose load is clearly higher than that of the next
 //! ones in the rotation is skipped.
+//!
+//! In each round of the rotation, an upstream accumulates its weight, which is usually a fraction of a turn.
+//! Once it has accumulated a whole turn, it takes the turn, for which it may be sent one request.
 
 use crate::time::Timestamp;
 use crate::upstreams::{UpstreamPosition, UpstreamSet};
@@ -10,8 +13,8 @@
 /// Multiple of the lowest load in the look-ahead, plus [`SKIP_LOAD_MARGIN`], above which an upstream is
 /// skipped.
 const SKIP_LOAD_RATIO: f64 = 1.5;
-/// Requests per unit of capacity that are added to the limit of [`SKIP_LOAD_RATIO`], so that small
-/// differences at low load skip no upstream.
+/// Load that is added to the limit of [`SKIP_LOAD_RATIO`], in requests divided by the relative capacity of
+/// the upstream. It prevents small differences at low load from skipping an upstream.
 const SKIP_LOAD_MARGIN: f64 = 0.5;
 /// Maximum number of turns that an upstream accumulates.
 const MAX_TURN_CREDIT: f64 = 2.0;
@@ -32,11 +35,11 @@
     }
 
     fn includes(&self, upstreams: &UpstreamSet, position: UpstreamPosition) -> bool {
-        self.all_are_ejected || !upstreams.at(position).outlier.is_ejected_for(self.class)
+        self.all_are_ejected || !upstreams.at(position).outlier.is_ejected_for_class(self.class)
     }
 }
 
-/// State of the rotation: its position and the upcoming turns.
+/// State of the rotation: the latest turn, and the turns for which no request has been sent yet.
 #[derive(Default)]
 pub(crate) struct RoundRobin {
     /// Index into the subset of the upstream that got the latest turn.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -40,15 +40,16 @@
 pub struct RequestClass {
     /// Time within which a response earns the full priority weight; above zero.
     pub latency_objective: Duration,
-    /// Multiple of the request's own work by which the latency objective grows. Currently, the balancer only
-    /// checks whether it is positive: a response then counts as useful until the deadline.
+    /// Multiple of the request's own work, its execution time on a standard core, by which the latency
+    /// objective grows. Currently, the balancer only checks whether it is positive: a response then counts as
+    /// useful until the deadline.
     pub latency_objective_stretch: f64,
     /// Longest time that a client waits for a response. Currently used by embedders only.
     pub deadline: Duration,
     /// Value of a response within the latency objective. Currently not used by the balancer.
     pub priority_weight: f64,
     /// Share of the priority weight that a response after the latency objective still earns. Currently, the
-    /// balancer only checks whether it is positive.
+    /// balancer only checks whether it is positive: a response then counts as useful until the deadline.
     pub late_priority_weight: f64,
     /// Whether a request of this class may be executed more than once.
     pub retry_safety: RetrySafety,
@@ -84,7 +85,8 @@
 pub enum WeightKind {
     /// The weight has no meaning.
     Ignored,
-    /// The weight is the size of the upstream, at least approximately.
+    /// The weight is the size of the upstream: its full capacity relative to that of the others, at least
+    /// approximately.
     Size,
     /// The weight is the size of the upstream divided by one plus the number of requests that each of its
     /// cores held some time ago.
@@ -154,8 +156,8 @@
     pub tenants: Vec<Tenant>,
     /// Share of its class's priority weight that a request over its tenant's quota earns.
     pub over_quota_weight: f64,
-    /// Whether the priority weight of a request is proportional to its work. Currently not used by the
-    /// balancer.
+    /// Whether the priority weight of a request is proportional to its work on a standard core. Currently not
+    /// used by the balancer.
     pub weight_by_work: bool,
     /// Whether the balancer starts each watch of the endpoint list itself with
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints), and starts another one after a failure.
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -5,14 +5,15 @@
 
 /// Burst that a bucket allows, in seconds of its tenant's demand.
 const DEMAND_BURST_SECONDS: f64 = 0.2;
-/// Tokens that every bucket can hold, whatever its tenant's rate, so that a tenant with little traffic may
-/// send a few requests at once.
+/// Tokens that every bucket can hold without overload, whatever its tenant's rate, so that a tenant with
+/// little traffic may send a few requests at once.
 const BASE_SIZE_TOKENS: f64 = 3.0;
 /// Share of the guaranteed rate that is withheld per unit of overload from a tenant whose demand exceeds the
 /// guaranteed rate.
 const WITHHELD_SHARE_OVER_GUARANTEE: f64 = 20.0;
 /// Share of the guaranteed rate that is withheld per unit of overload beyond [`TOLERATED_OVERLOAD`] from a
-/// tenant whose demand is within the guaranteed rate. Buckets shrink by the same share.
+/// tenant whose demand is within the guaranteed rate. Also the share by which buckets shrink per unit of
+/// smoothed overload beyond the tolerated one.
 const WITHHELD_SHARE_WITHIN_GUARANTEE: f64 = 2.0;
 /// Overload, as a share of the requests in flight, up to which buckets do not shrink and no tenant within its
 /// guaranteed rate loses a part of it.
--- a/crates/core/src/upstreams/load_reports.rs
+++ b/crates/core/src/upstreams/load_reports.rs
@@ -35,8 +35,8 @@
 
 impl ReportedLoad {
     /// Records a load report. `fields` gives the meaning of each of the `values`; values that are not finite
-    /// are ignored. `share_of_others` is the share of the reported requests that is attributed to other
-    /// balancers.
+    /// are ignored. If a report states both the requests in flight and the queue, the larger number counts.
+    /// `share_of_others` is the share of that number that is attributed to other balancers.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
@@ -81,8 +81,8 @@
     /// Returns the number of requests in flight that other balancers sent, decayed exponentially with its
     /// age.
     pub(crate) fn decayed_in_flight(&self, now: Timestamp) -> f64 {
-        let age = (now - self.in_flight_updated_at).max(0.0);
-        self.in_flight * (-age / IN_FLIGHT_DECAY_SECONDS).exp()
+        let age_seconds = (now - self.in_flight_updated_at).max(0.0);
+        self.in_flight * (-age_seconds / IN_FLIGHT_DECAY_SECONDS).exp()
     }
 
     /// Returns the reported utilization, from 0 to 1, or `None` if no report is recent enough.
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -17,8 +17,8 @@
 /// balancers add to the queue of a stuck upstream.
 const FAILURES_TO_EJECT: u32 = 2;
 /// Seconds without a served request of a class after which a single failure other than an error response
-/// ejects the upstream for that class, provided that the class is well within its latency objective
-/// elsewhere.
+/// ejects the upstream for that class, provided that the class as a whole is well within its latency
+/// objective.
 const UNRESPONSIVE_SECONDS: f64 = 3.0;
 /// Share of the latency objective below which the mean latency of a class is well within the objective. A
 /// higher mean latency can be a sign of overload: then all upstreams are slow, and ejecting some of them
@@ -43,9 +43,9 @@
 const MAX_PROBE_DOUBLINGS: u32 = 4;
 
 /// Returns whether a class with this mean latency of served attempts is so far below its latency objective
-/// that a slow upstream is an outlier and not a sign of overload. Both times are in seconds.
-pub(crate) fn is_well_within_objective(served_mean_latency: f64, latency_objective: f64) -> bool {
-    served_mean_latency < WELL_WITHIN_OBJECTIVE_SHARE * latency_objective
+/// that a slow upstream is an outlier and not a sign of overload.
+pub(crate) fn is_well_within_objective(served_mean_seconds: f64, objective_seconds: f64) -> bool {
+    served_mean_seconds < WELL_WITHIN_OBJECTIVE_SHARE * objective_seconds
 }
 
 /// The state of outlier detection for one upstream.
@@ -55,7 +55,8 @@
     /// Connection resets since the last response or ejection for all classes. A failure to connect counts as
     /// [`RESETS_PER_FAILED_CONNECT`] resets.
     consecutive_resets: u32,
-    /// When the upstream last responded, with a success or not.
+    /// When the upstream last responded with a success, an error or a rejection;
+    /// [`Timestamp::DISTANT_PAST`] if it has not responded.
     last_response_at: Timestamp,
     /// Ejections for all classes since the last success that was not overdue.
     consecutive_ejections: u32,
@@ -91,7 +92,7 @@
 
     /// Returns whether the upstream is ejected for all classes because it was unreachable. An upstream that
     /// is ejected for each class separately does not count.
-    pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_ejected_for_all_classes(&self, now: Timestamp) -> bool {
         self.ejected_until > now
     }
 
@@ -102,11 +103,12 @@
 
     /// Returns whether the upstream is ejected for this class in particular. An ejection for all classes
     /// does not count.
-    pub(crate) fn is_ejected_for(&self, class: usize) -> bool {
+    pub(crate) fn is_ejected_for_class(&self, class: usize) -> bool {
         self.classes[class].ejected
     }
 
-    /// Returns when the upstream last responded, with a success or not.
+    /// Returns when the upstream last responded with a success, an error or a rejection, or
+    /// [`Timestamp::DISTANT_PAST`] if it has not responded.
     pub(crate) fn last_response_at(&self) -> Timestamp {
         self.last_response_at
     }
@@ -157,9 +159,9 @@
     fn eject(&mut self, now: Timestamp, random: &mut Random) {
         self.consecutive_resets = 0;
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
-        let duration = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
+        let duration_seconds = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
         self.consecutive_ejections += 1;
-        self.ejected_until = now + duration * random.jitter_factor();
+        self.ejected_until = now + duration_seconds * random.jitter_factor();
     }
 }
 
@@ -187,8 +189,8 @@
     fn record_probe(&mut self, now: Timestamp, random: &mut Random) {
         self.unsuccessful_probes += 1;
         let doublings = self.unsuccessful_probes.min(MAX_PROBE_DOUBLINGS);
-        let wait = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
-        self.next_probe_at = now + wait * random.jitter_factor();
+        let wait_seconds = BASE_EJECTION_SECONDS * f64::from(1 << doublings);
+        self.next_probe_at = now + wait_seconds * random.jitter_factor();
     }
 
     /// Records that an ejected upstream serves again. The other ejected upstreams may have failed for the
@@ -204,7 +206,7 @@
 pub(crate) struct AttemptResult {
     pub(crate) class: usize,
     pub(crate) outcome: Outcome,
-    /// Whether the attempt was overdue, that is, took longer than is typical of its class.
+    /// Whether a check found the attempt in flight for longer than most attempts of its class.
     pub(crate) was_overdue: bool,
     /// Whether the mean latency of the class is well within its objective, so that a failure of this attempt
     /// is probably not due to overload. See [`is_well_within_objective`].
@@ -245,7 +247,10 @@
         }
         upstream.outlier.record_reachability(now, result.outcome);
         let connection_failed = matches!(result.outcome, Outcome::ConnectFailed | Outcome::Reset);
-        if connection_failed && upstream.outlier.is_unreachable(now) && !upstream.outlier.is_ejected(now) {
+        if connection_failed
+            && upstream.outlier.is_unreachable(now)
+            && !upstream.outlier.is_ejected_for_all_classes(now)
+        {
             self.eject_for_all_classes(now, position, random);
         }
         self.count_failures(now, position, result);
@@ -253,7 +258,7 @@
         // Abandoned attempts at an upstream that is ejected for the class are not counted, so that they do
         // not reduce the spare capacity.
         let upstream = &mut self.upstreams[position];
-        if result.is_abandoned() && !upstream.outlier.is_ejected_for(class) {
+        if result.is_abandoned() && !upstream.outlier.is_ejected_for_class(class) {
             upstream.abandoned_attempts += 1.0;
         }
     }
@@ -319,7 +324,7 @@
         random: &mut Random,
     ) {
         let already_ejected_count =
-            self.subset_members().filter(|upstream| upstream.outlier.is_ejected_for(class)).count();
+            self.subset_members().filter(|upstream| upstream.outlier.is_ejected_for_class(class)).count();
         let ejected_count = (already_ejected_count + 1) as f64;
         let max_ejected = MAX_EJECTED_SHARE * self.subset.len() as f64;
         let state = &mut self.upstreams[position].outlier.classes[class];
@@ -365,6 +370,6 @@
 
     fn is_ejected_in_rotation(&self, position: UpstreamPosition, class: usize) -> bool {
         let upstream = &self.upstreams[position];
-        upstream.outlier.is_ejected_for(class) && upstream.rotation.takes_turns()
+        upstream.outlier.is_ejected_for_class(class) && upstream.rotation.takes_turns()
     }
 }
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -2,9 +2,9 @@
 //!
 //! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds
 //! or hours at any time. Such a start is therefore detected by an incarnation that differs from the one
-//! listed before, and slow start is measured on the embedder's monotonic clock. It begins when the list
-//! arrives, moved back by the delay of the list, which counts up to a small share of the duration of slow
-//! start.
+//! listed before, and slow start is measured on the embedder's monotonic clock. Slow start begins when the
+//! list arrives, moved back by the delay of the list: the age that the process start then has by the wall
+//! clock, of which at most a small share of the duration of slow start counts.
 //!
 //! The lists that a new balancer begins with are the only exception. The wall clock is then the only means
 //! to tell an old start from a recent one, so slow start begins at the stated time.
@@ -36,7 +36,8 @@
 /// The latest process start that a list has stated for an upstream.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct KnownStart {
-    /// The time of the start on the embedder's clock; `None` if no list has stated one.
+    /// The time of the start on the embedder's clock, as stated by a list or assumed; `None` if no list has
+    /// stated one and none is assumed.
     started_at: Option<Timestamp>,
     /// The incarnation that lists state for a start by a wall clock; `None` if no list has stated one.
     incarnation: Option<u64>,
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -64,11 +64,11 @@
 
     /// Adjusts the capacity scale so that the utilization of the upstream approaches the mean utilization.
     /// The capacity that the settings state is the least that the upstream has, so the upstream may be used
-    /// as much as the others are. `elapsed` is in seconds. Without a reported utilization, the scale does
-    /// not change.
+    /// as much as the others are. Without a reported utilization, the scale does not change. Outside slow
+    /// start, it is 1.
     pub(crate) fn adjust_capacity_scale(
         &mut self,
-        elapsed: f64,
+        elapsed_seconds: f64,
         reported_utilization: Option<f64>,
         mean_utilization: f64,
         settings: &Settings,
@@ -82,8 +82,8 @@
         // be able to do no more than the settings state.
         let max_scale = settings.overload_factor.max(1.0);
         let relative_headroom = (mean_utilization - utilization) / mean_utilization;
-        let scale =
-            self.capacity_scale * (CAPACITY_ADJUSTMENT_PER_SECOND * elapsed * relative_headroom).exp();
+        let scale = self.capacity_scale
+            * (CAPACITY_ADJUSTMENT_PER_SECOND * elapsed_seconds * relative_headroom).exp();
         self.capacity_scale = scale.clamp(1.0 / max_scale, max_scale);
     }
 
@@ -106,12 +106,19 @@
         self.capacity_scale
     }
 
-    /// Adds to the budget the requests that an upstream with the rotation weight `weight` may be sent in
-    /// `elapsed` seconds. `warm_rate` is the rate in requests per second of an upstream that has warmed up.
-    pub(crate) fn refill_budget(&mut self, elapsed: f64, warm_rate: f64, weight: f64, settings: &Settings) {
+    /// Adds to the budget the requests that an upstream with the rotation weight `weight` may be sent in the
+    /// elapsed time. `warm_rate` is the rate in requests per second of an upstream that has warmed up.
+    pub(crate) fn refill_budget(
+        &mut self,
+        elapsed_seconds: f64,
+        warm_rate: f64,
+        weight: f64,
+        settings: &Settings,
+    ) {
         if self.is_active() {
             let rate_factor = BUDGET_SHARE_OF_OVERLOAD_RATE * settings.overload_factor;
-            self.budget = (self.budget + elapsed * warm_rate * rate_factor * weight).min(MAX_BUDGET_REQUESTS);
+            self.budget =
+                (self.budget + elapsed_seconds * warm_rate * rate_factor * weight).min(MAX_BUDGET_REQUESTS);
         }
     }
 
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -127,7 +127,7 @@
         let mut member_count = 0;
         for (rank, position) in order.iter().enumerate() {
             let upstream = &mut self.upstreams[*position];
-            let is_usable = !upstream.outlier.is_ejected(now);
+            let is_usable = !upstream.outlier.is_ejected_for_all_classes(now);
             let is_selected = upstream.in_subset || (upstream.awaits_selection && rank < plan.size);
             upstream.in_subset = plan.includes_all || (is_usable && is_selected);
             upstream.awaits_selection &= !is_usable;
@@ -148,7 +148,10 @@
         let mut member_count = kept_count;
         for position in order {
             let upstream = &mut self.upstreams[*position];
-            if member_count < plan.size && !upstream.in_subset && !upstream.outlier.is_ejected(now) {
+            if member_count < plan.size
+                && !upstream.in_subset
+                && !upstream.outlier.is_ejected_for_all_classes(now)
+            {
                 upstream.in_subset = true;
                 member_count += 1;
             }
--- a/crates/core/src/upstreams/upstream.rs
+++ b/crates/core/src/upstreams/upstream.rs
@@ -19,15 +19,16 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) availability: Availability,
-    /// The size in the units of the listed weights: the listed weight itself or, if the list states live
-    /// weights, the largest weight seen; 1 if the settings ignore the listed weights.
+    /// The full capacity of the upstream once it has warmed up, in the units of the listed weights: the
+    /// listed weight itself or, if the list states live weights, the largest weight seen; 1 if the settings
+    /// ignore the listed weights.
     pub(crate) size: f64,
     /// This balancer's attempts in flight at the upstream, called q_j in `capacity.rs`.
     pub(crate) in_flight: u32,
     /// The overdue ones among the attempts in flight.
     pub(crate) overdue_attempts: u32,
-    /// Attempts that this balancer has given up and that the upstream may still be executing. The number
-    /// decays exponentially, with the shortest latency objective as its time constant.
+    /// Overdue attempts that were cancelled or timed out and that the upstream may still be executing. The
+    /// number decays exponentially, with the shortest latency objective as its time constant.
     pub(crate) abandoned_attempts: f64,
     /// When an attempt was last sent to the upstream or ended; [`Timestamp::ZERO`] before the first attempt.
     pub(crate) last_used_at: Timestamp,
@@ -39,9 +40,9 @@
     pub(crate) rotation: RotationState,
     /// Whether the upstream is a member of the subset that takes requests.
     pub(crate) in_subset: bool,
-    /// Whether the upstream is new, has restarted or has been ejected for all classes, and has not been
-    /// considered since by a selection of the subset at which it was usable. At that selection, it joins the
-    /// subset if it is in this balancer's part of the selection order.
+    /// Whether the upstream is new, has restarted or was ejected for all classes, and still waits for a
+    /// selection of the subset that finds it ready and not ejected for all classes. At that selection, it
+    /// joins the subset if it is in this balancer's part of the selection order.
     pub(crate) awaits_selection: bool,
 }
 
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -76,12 +76,12 @@
 /// The inputs of the weights that are not part of the upstream set.
 pub(crate) struct WeightInputs<'a> {
     pub(crate) now: Timestamp,
-    /// Seconds since the last tick, or 0 for an update after a change of the subset or the endpoint list.
-    pub(crate) elapsed: f64,
+    /// Time since the last tick, or 0 for an update after a change of the subset or the endpoint list.
+    pub(crate) elapsed_seconds: f64,
     pub(crate) settings: &'a Settings,
-    /// Estimated completion rate of the upstreams for each unit of rotation weight, in requests per second.
+    /// Estimated service rate C of the upstreams per unit of rotation weight, in requests per second.
     pub(crate) rate_per_weight: f64,
-    /// Rate that this balancer expects according to the quotas of the tenants, in requests per second.
+    /// Requests per second that this balancer expects, derived from the tenants' quotas.
     pub(crate) expected_rate: f64,
 }
 
@@ -104,13 +104,14 @@
     /// refills the request budgets of the members in slow start.
     pub(crate) fn update_weights(&mut self, inputs: &WeightInputs<'_>) {
         let summary = self.summarize(inputs);
-        let sample_factor = (-inputs.elapsed / RELATIVE_LATENCY_DECAY_SECONDS).exp();
-        let abandoned_factor = (-inputs.elapsed / shortest_latency_objective_seconds(inputs.settings)).exp();
+        let sample_factor = (-inputs.elapsed_seconds / RELATIVE_LATENCY_DECAY_SECONDS).exp();
+        let abandoned_factor =
+            (-inputs.elapsed_seconds / shortest_latency_objective_seconds(inputs.settings)).exp();
         for position in &self.subset {
             let upstream = &mut self.upstreams[*position];
             let utilization = upstream.reported_load.valid_utilization(inputs.now);
             upstream.slow_start.adjust_capacity_scale(
-                inputs.elapsed,
+                inputs.elapsed_seconds,
                 utilization,
                 summary.mean_utilization,
                 inputs.settings,
@@ -124,9 +125,9 @@
     /// Applies the decay up to `now` of the abandoned attempts at upstreams outside the subset. The ticks
     /// apply it to members of the subset only.
     pub(crate) fn decay_abandoned_outside_subset(&mut self, now: Timestamp, settings: &Settings) {
-        let elapsed = now - self.outside_subset_decayed_at;
+        let elapsed_seconds = now - self.outside_subset_decayed_at;
         self.outside_subset_decayed_at = now;
-        let factor = (-elapsed / shortest_latency_objective_seconds(settings)).exp();
+        let factor = (-elapsed_seconds / shortest_latency_objective_seconds(settings)).exp();
         for upstream in self.upstreams.iter_mut().filter(|upstream| !upstream.in_subset) {
             upstream.abandoned_attempts *= factor;
         }
@@ -135,14 +136,16 @@
     fn summarize(&self, inputs: &WeightInputs<'_>) -> SubsetSummary {
         let now = inputs.now;
         let ready = || self.subset_members().filter(|upstream| upstream.is_ready());
-        let ejected_count = ready().filter(|upstream| upstream.outlier.is_ejected(now)).count() as f64;
+        let ejected_count =
+            ready().filter(|upstream| upstream.outlier.is_ejected_for_all_classes(now)).count() as f64;
         let max_ejected = MAX_EJECTED_SHARE * ready().count() as f64;
         let reported_utilization = mean_utilization(self.subset_members(), now);
         SubsetSummary {
             largest_size: self.subset_members().map(|upstream| upstream.size).fold(1e-9, f64::max),
             ignores_ejections: ejected_count > max_ejected,
-            own_zone_is_usable: ready()
-                .any(|upstream| upstream.zone == inputs.settings.zone && !upstream.outlier.is_ejected(now)),
+            own_zone_is_usable: ready().any(|upstream| {
+                upstream.zone == inputs.settings.zone && !upstream.outlier.is_ejected_for_all_classes(now)
+            }),
             mean_utilization: reported_utilization
                 .map_or(1.0, |utilization| utilization.max(MIN_UTILIZATION)),
         }
@@ -171,7 +174,7 @@
         for position in &self.subset {
             let upstream = &mut self.upstreams[*position];
             let weight = upstream.rotation.weight;
-            upstream.slow_start.refill_budget(inputs.elapsed, warm_rate, weight, inputs.settings);
+            upstream.slow_start.refill_budget(inputs.elapsed_seconds, warm_rate, weight, inputs.settings);
         }
     }
 }
@@ -192,8 +195,8 @@
         let relative_capacity =
             relative_size * warm_up_progress * self.slow_start.capacity_scale() / relative_latency;
         self.rotation.relative_capacity = relative_capacity.max(MIN_RELATIVE_CAPACITY);
-        let is_usable =
-            self.is_ready() && (!self.outlier.is_ejected(inputs.now) || summary.ignores_ejections);
+        let is_usable = self.is_ready()
+            && (!self.outlier.is_ejected_for_all_classes(inputs.now) || summary.ignores_ejections);
         let zone_share = if self.zone == inputs.settings.zone || !summary.own_zone_is_usable {
             1.0
         } else {
