--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -18,7 +18,7 @@
 /// Time constant with which the service rate falls to a lower observed rate if utilization is not reported
 /// and no class exceeds its allowed mean latency.
 const RATE_DECAY_SECONDS: f64 = 30.0;
-/// CPU utilization up to which the upstreams are loaded.
+/// CPU utilization up to which the upstreams are loaded if requests over quota have no weight.
 const TARGET_UTILIZATION: f64 = 0.8;
 /// Increase of the target utilization per unit of [`Settings::over_quota_weight`]. If requests over quota
 /// have little weight, short queues matter more than serving them.
--- a/crates/core/src/round_robin.rs
+++ b/crates/core/src/round_robin.rs
@@ -24,7 +24,7 @@
 /// The upstreams that may get requests of a class.
 struct Eligibility {
     class: usize,
-    /// Whether all upstreams are ejected for the class. None is excluded then.
+    /// Whether all members of the subset are in rotation and ejected for the class. None is excluded then.
     all_are_ejected: bool,
 }
 
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -49,7 +49,8 @@
     demand: f64,
     /// This balancer's equal part of the tenant's quota, in requests per second.
     quota: f64,
-    /// Tokens per second that are granted independently of the spare capacity; a multiple of `quota`.
+    /// Tokens per second that are granted whatever the spare capacity is, less the share that is withheld
+    /// under overload; a multiple of `quota`, at least `quota`.
     guaranteed_rate: f64,
 }
 
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -99,13 +99,13 @@
     }
 }
 
-/// Returns when slow start begins for a process start that was `age` seconds ago by a wall clock. `now` is
+/// Returns when slow start begins for a process start whose age by a wall clock is `age_seconds`. `now` is
 /// the time at which the list arrived. Except for initial lists, the age is limited by [`MAX_DELAY_SHARE`].
-fn wall_clock_start(now: Timestamp, age: f64, kind: ListKind, settings: &Settings) -> Timestamp {
-    let max_delay = MAX_DELAY_SHARE * settings.slow_start_duration.as_secs_f64();
+fn wall_clock_start(now: Timestamp, age_seconds: f64, kind: ListKind, settings: &Settings) -> Timestamp {
+    let max_delay_seconds = MAX_DELAY_SHARE * settings.slow_start_duration.as_secs_f64();
     match kind {
-        ListKind::Initial => now + -age,
-        ListKind::Subsequent => now + -age.min(max_delay),
+        ListKind::Initial => now + -age_seconds,
+        ListKind::Subsequent => now + -age_seconds.min(max_delay_seconds),
     }
 }
 
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -64,8 +64,8 @@
 
     /// Adjusts the capacity scale so that the utilization of the upstream approaches the mean utilization.
     /// The capacity that the settings state is the least that the upstream has, so the upstream may be used
-    /// as much as the others are. Without a reported utilization, the scale does not change. Outside slow
-    /// start, it is 1.
+    /// as much as the others are. Without a reported utilization, the scale does not change. Resets the
+    /// scale to 1 if the upstream has warmed up.
     pub(crate) fn adjust_capacity_scale(
         &mut self,
         elapsed_seconds: f64,
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -152,7 +152,7 @@
     }
 
     /// Refills the request budgets of the members in slow start in proportion to the rate of a warm
-    /// upstream. That rate is at least an equal part of the rate that the quotas let this balancer expect.
+    /// upstream. That rate is at least the rate that this balancer expects, divided by the number of members.
     /// With the observed rate alone, few requests would lead to few responses, and few responses to even
     /// fewer requests.
     fn refill_slow_start_budgets(&mut self, inputs: &WeightInputs<'_>) {
