--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -1,4 +1,5 @@
-//! Limits on clients' connections: clients that are idle, silent or slow must not keep others out.
+//! Limits on the connections of clients. Clients that are idle, send nothing or send slowly must not prevent
+//! other clients from being served.
 
 mod common;
 
@@ -6,17 +7,17 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// A limit that a hundred clients exceed.
+/// A socket limit that 100 clients exceed.
 const FEW_SOCKETS: usize = 64;
-/// How long the proxy keeps a connection open between two requests.
+/// How long the proxy keeps a connection of a client open between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
 #[test]
-fn the_longest_idle_client_is_closed_when_sockets_run_out() {
+fn the_longest_idle_connection_is_closed_when_sockets_run_out() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let mut proxy = ProxyConfig::new(&[upstream.address]).sockets(FEW_SOCKETS).start();
 
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let mut clients = Vec::new();
     for _ in 0..100 {
         let mut client = proxy.connect();
@@ -24,76 +25,81 @@
         clients.push(client);
     }
 
-    assert!(began_at.elapsed() < IDLE_TIMEOUT, "no client had to wait for another one's timeout");
-    assert!(clients[0].is_closed(), "the longest idle client was closed between requests");
+    assert!(started_at.elapsed() < IDLE_TIMEOUT, "a client had to wait for the idle timeout of another one");
+    assert!(
+        clients[0].closes_without_more_data(),
+        "the longest idle connection should be closed without a response"
+    );
     assert!(proxy.is_running());
 }
 
-/// A client has some seconds from its connect for its first complete request, however slowly it writes. A
-/// time left that is longer than the deadline of its class does not extend that.
+/// A client has to complete its first request within a few seconds of connecting, even if it keeps sending
+/// bytes. Guards against a time left in the request head that extends this period beyond the deadline of the
+/// class.
 #[test]
-fn clients_without_a_complete_request_are_closed_after_some_seconds() {
+fn clients_that_send_no_complete_request_are_closed_within_seconds() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let proxy = ProxyConfig::new(&[upstream.address]).start();
-    let complete = at_most_once_request(3_000_000, &"x".repeat(9999));
-    let incomplete = complete.replacen(&"x".repeat(9000), "", 1);
+    let complete_request = at_most_once_request(3_000_000, &"x".repeat(9999));
+    let incomplete_request = complete_request.replacen(&"x".repeat(9000), "", 1);
     let unknown_target = idempotent_request(5000).replace("/look", "/nothing");
 
-    for text in ["", "POST /book HTTP/1.1\r\nHost: a", &incomplete, &unknown_target] {
+    for sent in ["", "POST /book HTTP/1.1\r\nHost: a", &incomplete_request, &unknown_target] {
         let mut client = proxy.connect();
-        client.send(text);
+        client.send(sent);
         if let Some(response) = client.response() {
             assert!((400..500).contains(&response.status()), "{response:?}");
         }
-        assert!(client.is_closed(), "{text:?}");
+        assert!(client.closes_without_more_data(), "{sent:?}");
     }
-    for text in ["POST /book HTTP/1.1\r\nHost: a\r\n", &incomplete] {
+    for sent in ["POST /book HTTP/1.1\r\nHost: a\r\n", &incomplete_request] {
         let mut client = proxy.connect();
-        client.send(text);
-        write_until_closed(&client, text);
+        client.send(sent);
+        write_until_closed(&client, sent);
     }
 
     assert!(upstream.requests().is_empty());
 }
 
-/// Writes a byte now and then until the proxy closes the connection.
+/// Sends a byte every 50 ms until the proxy closes the connection. `sent` is the text that the client sent
+/// before.
 fn write_until_closed(client: &Client, sent: &str) {
     let mut writer = client.writer();
     let start = Instant::now();
     while writer.write_all(b"a").is_ok() {
-        assert!(start.elapsed() < TIMEOUT, "waited in vain: the client that sent {sent:?} is closed");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until the client that sent {sent:?} is closed");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Clients between two requests and new ones must get through where others connect by the hundred and send
-/// nothing.
+/// Guards against the loss of service for active and new clients while a hundred other clients connect and
+/// send nothing.
 #[test]
-fn silent_clients_are_closed_before_those_that_send_requests() {
+fn silent_clients_are_closed_before_clients_that_send_requests() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let proxy = ProxyConfig::new(&[upstream.address]).sockets(FEW_SOCKETS).start();
-    let mut active = proxy.connect();
+    let mut active_client = proxy.connect();
 
-    let mut silent = Vec::new();
+    let mut silent_clients = Vec::new();
     for _ in 0..100 {
-        silent.push(proxy.connect());
-        assert_eq!(active.exchange(&idempotent_request(8000)).status(), 200);
+        silent_clients.push(proxy.connect());
+        assert_eq!(active_client.exchange(&idempotent_request(8000)).status(), 200);
     }
 
     assert_eq!(proxy.connect().exchange(&idempotent_request(8000)).status(), 200);
-    assert!(silent[0].is_closed());
+    assert!(silent_clients[0].closes_without_more_data());
 }
 
 #[test]
-fn clients_that_never_complete_a_request_head_give_way_to_new_clients() {
+fn a_new_client_is_served_although_clients_with_incomplete_request_heads_hold_sockets() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let proxy = ProxyConfig::new(&[upstream.address]).sockets(FEW_SOCKETS).start();
 
-    let mut incomplete = Vec::new();
+    let mut incomplete_clients = Vec::new();
     for _ in 0..40 {
         let mut client = proxy.connect();
         client.send("POST /book HTTP/1.1\r\nHost: a");
-        incomplete.push(client);
+        incomplete_clients.push(client);
     }
 
     assert_eq!(proxy.connect().exchange(&idempotent_request(8000)).status(), 200);
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -1,59 +1,60 @@
-//! A client of the proxy, and its requests.
+//! A client of the proxy and the requests that it sends.
 
 use super::{Message, TIMEOUT};
 use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A client's connection.
+/// A connection of a client to the proxy.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Connects to a proxy.
+    /// Connects to a proxy. Panics if the connection cannot be established.
     pub fn connect(address: SocketAddr) -> Self {
         Self::try_connect(address).unwrap()
     }
 
-    /// Connects to a proxy, if it listens.
+    /// Connects to a proxy. Returns an error if nothing listens at the address.
     pub fn try_connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(TIMEOUT))?;
         Ok(Self { reader: BufReader::new(stream) })
     }
 
-    /// Sends a text, such as a request or a part of one.
+    /// Sends a complete request or a part of one.
     pub fn send(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The same connection, only for writing.
+    /// Returns a second handle to the connection, for writing.
     pub fn writer(&self) -> TcpStream {
         self.reader.get_ref().try_clone().unwrap()
     }
 
-    /// Reads the response; `None` if the connection ends instead.
+    /// Reads the next response. Returns `None` if the connection ends before the response is complete.
     pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
-    /// Sends a request and reads the response.
+    /// Sends a request, or the rest of one, and returns the response.
     pub fn exchange(&mut self, request: &str) -> Message {
         self.send(request);
-        self.response().expect("a response")
+        self.response().expect("the proxy sends a response")
     }
 
-    /// Waits for the end of the connection. Returns whether nothing more came before it.
-    pub fn is_closed(&mut self) -> bool {
-        let mut rest = Vec::new();
-        self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
+    /// Waits until the proxy closes the connection. Returns false if it sends more data first, or if a read
+    /// fails or takes longer than [`TIMEOUT`].
+    pub fn closes_without_more_data(&mut self) -> bool {
+        let mut received = Vec::new();
+        self.reader.read_to_end(&mut received).is_ok() && received.is_empty()
     }
 }
 
-/// Asks whether the proxy is ready.
+/// A readiness check.
 pub const READINESS_CHECK: &str = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-/// A request of the class `book`, which must not be executed twice.
+/// Returns a request of the class `book`, which must be executed at most once.
 pub fn at_most_once_request(time_left_ms: u64, body: &str) -> String {
     format!(
         "POST /book/day?n=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 9b1f03aa\r\nX-Account: acme\r\n\
@@ -62,7 +63,7 @@
     )
 }
 
-/// A request of the class `look`, which may be executed again.
+/// Returns a request of the class `look`, which may be executed more than once.
 pub fn idempotent_request(time_left_ms: u64) -> String {
     format!(
         "GET /look HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 77aa\r\nX-Account: acme\r\n\
--- a/crates/proxy/tests/common/config.rs
+++ b/crates/proxy/tests/common/config.rs
@@ -1,14 +1,14 @@
-//! The configuration of a proxy.
+//! A builder for the configuration file of a proxy.
 
 use super::{EndpointState, ProxyProcess, endpoint, snapshot, unused_address, wait_until};
 use std::net::SocketAddr;
 
-/// Who begins the watch of the endpoint list.
+/// Which part of the proxy starts the watch of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// The proxy does at its start.
+    /// The proxy starts the watch when the process starts.
     Automatic,
-    /// The decisions ask for it.
+    /// The decision logic (`balancer-core`) requests the watch.
     Subscribe,
 }
 
@@ -34,13 +34,13 @@
 }
 
 impl ProxyConfig {
-    /// Starts with these upstreams, named `s-0` and so on, in the cached endpoint list, and discovery that is
-    /// down.
+    /// Creates a configuration whose cached endpoint list contains these upstreams, named `s-0`, `s-1` and so
+    /// on. Nothing listens at its address of discovery.
     pub fn new(upstreams: &[SocketAddr]) -> Self {
-        let ready = |(number, address): (usize, &SocketAddr)| {
+        let ready_endpoint = |(number, address): (usize, &SocketAddr)| {
             endpoint(&format!("s-{number}"), *address, EndpointState::Ready)
         };
-        let endpoints: Vec<_> = upstreams.iter().enumerate().map(ready).collect();
+        let endpoints: Vec<_> = upstreams.iter().enumerate().map(ready_endpoint).collect();
         Self {
             discovery: unused_address(),
             discovery_mode: DiscoveryMode::Automatic,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Sets the address of discovery.
+    /// Sets the address of the discovery service.
     pub fn discovery(mut self, address: SocketAddr) -> Self {
         self.discovery = address;
         self
     }
 
-    /// Sets who begins the watch.
+    /// Sets which part of the proxy starts the watch.
     pub fn discovery_mode(mut self, mode: DiscoveryMode) -> Self {
         self.discovery_mode = mode;
         self
@@ -69,33 +69,33 @@
         self
     }
 
-    /// Sets how many sockets the proxy may have.
+    /// Sets how many sockets the proxy may have open at once.
     pub fn sockets(mut self, sockets: usize) -> Self {
         self.sockets = sockets;
         self
     }
 
-    /// Sets the latency objective and the deadline of all classes.
+    /// Sets the latency objective and the deadline of each class, in milliseconds.
     pub fn deadline_ms(mut self, deadline_ms: u64) -> Self {
         self.deadline_ms = deadline_ms;
         self
     }
 
-    /// Sets how many balancers share the upstreams; this is the last of them.
+    /// Sets how many balancers share the upstreams. The proxy is the last of them.
     pub fn balancers(mut self, balancers: u32) -> Self {
         self.balancers = balancers;
         self
     }
 
-    /// The text of the configuration file.
-    pub fn text(&self) -> String {
+    /// Returns the content of the configuration file, as JSON.
+    pub fn to_json(&self) -> String {
         let Self { discovery, discovery_mode, cached_list, sockets, balancers, .. } = self;
         let index = balancers - 1;
         let discovery_mode = discovery_mode.wire_name();
         let classes = [
-            self.class("look", "idempotent"),
-            self.class("book", "at_most_once"),
-            self.class("keyed", "deduplicated"),
+            self.class_json("look", "idempotent"),
+            self.class_json("book", "at_most_once"),
+            self.class_json("keyed", "deduplicated"),
         ]
         .join(",");
         format!(
@@ -108,25 +108,25 @@
         )
     }
 
-    fn class(&self, name: &str, retry_safety: &str) -> String {
+    fn class_json(&self, name: &str, retry_safety: &str) -> String {
         let deadline_ms = self.deadline_ms;
         format!(
             r#"{{"name":"{name}","aim_ms":{deadline_ms},"hard_limit_ms":{deadline_ms},"late_worth":0.5,"effect":"{retry_safety}","dedup_scope":"all","key_ttl_ms":5000}}"#
         )
     }
 
-    /// Starts a proxy and waits until it listens for clients.
+    /// Starts a proxy and waits until it listens for clients. Panics if the process ends before that.
     pub fn start(&self) -> ProxyProcess {
         let mut proxy = self.launch();
         wait_until("the proxy listens", || {
-            assert!(proxy.is_running(), "the proxy has ended");
+            assert!(proxy.is_running(), "the proxy ended before it listened");
             proxy.is_listening()
         });
         proxy
     }
 
-    /// Starts a proxy.
+    /// Starts a proxy without waiting until it listens.
     pub fn launch(&self) -> ProxyProcess {
-        ProxyProcess::launch(&self.text(), self.sockets)
+        ProxyProcess::launch(&self.to_json(), self.sockets)
     }
 }
--- a/crates/proxy/tests/common/endpoint_list.rs
+++ b/crates/proxy/tests/common/endpoint_list.rs
@@ -5,16 +5,16 @@
 /// The state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes the requests it has.
+    /// The endpoint completes its requests in flight and must get no new ones.
     Draining,
-    /// It no longer exists.
+    /// The endpoint no longer exists.
     Removed,
 }
 
 impl EndpointState {
-    /// The name of the state on the wire.
+    /// Returns the name of the state in endpoint lists.
     pub fn wire_name(self) -> &'static str {
         match self {
             Self::Ready => "Ready",
@@ -24,7 +24,7 @@
     }
 }
 
-/// An entry of a list.
+/// Returns an entry of an endpoint list, as JSON.
 pub fn endpoint(uid: &str, address: SocketAddr, state: EndpointState) -> String {
     let state = state.wire_name();
     format!(
@@ -32,12 +32,12 @@
     )
 }
 
-/// A complete list: an endpoint that it does not name has been removed.
+/// Returns a complete list. An endpoint that is not in it has been removed.
 pub fn snapshot(revision: u64, endpoints: &[String]) -> String {
     endpoint_list(revision, true, endpoints)
 }
 
-/// The entries that have changed.
+/// Returns a list of the entries that have changed since the previous revision.
 pub fn delta(revision: u64, endpoints: &[String]) -> String {
     endpoint_list(revision, false, endpoints)
 }
--- a/crates/proxy/tests/common/http.rs
+++ b/crates/proxy/tests/common/http.rs
@@ -1,19 +1,19 @@
-//! HTTP messages as they are on the wire.
+//! HTTP/1.1 messages, parsed without the HTTP library of the proxy.
 
 use std::io::BufRead;
 
-/// An HTTP request or response: its start line, its headers with lower-case names, its body.
+/// An HTTP request or response. The names of its headers are in lower case.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The first line.
+    /// The request line or status line, without its line end.
     pub start_line: String,
-    /// The body, as long as `Content-Length` says.
+    /// The body, whose length is the value of `Content-Length`. Empty without this header.
     pub body: Vec<u8>,
     headers: Vec<(String, String)>,
 }
 
 impl Message {
-    /// Reads one message; `None` if the connection ends instead.
+    /// Reads one message. Returns `None` if the connection ends before the message is complete.
     pub fn read(stream: &mut impl BufRead) -> Option<Self> {
         let start_line = read_line(stream)?.trim_end().to_owned();
         let mut headers = Vec::new();
@@ -27,29 +27,29 @@
         Some(message)
     }
 
-    /// The value of the first header of this name.
+    /// Returns the value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// The second word of the start line: the target of a request.
+    /// Returns the second word of the start line, which is the target of a request.
     pub fn target(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// The status of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.target().parse().unwrap_or_else(|_| panic!("{self:?} has no status"))
+        self.target().parse().unwrap_or_else(|_| panic!("{self:?} has no status code"))
     }
 
-    /// Whether this response says that the request failed and may have been executed: it is neither a success
-    /// nor a rejection after which the client may send the request again.
-    pub fn says_possibly_executed(&self) -> bool {
+    /// Returns whether this response tells the client that the request failed and may have been executed.
+    /// Status 200 is a success, and after 429 and 503 the client may safely send the request again.
+    pub fn reports_possible_execution(&self) -> bool {
         ![200, 429, 503].contains(&self.status())
     }
 }
 
-/// Reads a line with its end; `None` if the connection has ended.
+/// Reads a line, including its line end. Returns `None` if the connection has ended or a read fails.
 fn read_line(stream: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|length| *length > 0)?;
--- a/crates/proxy/tests/common/log_text.rs
+++ b/crates/proxy/tests/common/log_text.rs
@@ -1,12 +1,12 @@
-//! Texts by which tests recognize lines of the proxy's log.
+//! Texts that tests search for in the log of the proxy.
 
-/// Precedes the address that the proxy listens at.
+/// Field name in front of the address at which the proxy listens.
 pub const LISTEN_FIELD: &str = "listen=";
-/// A configuration file could not be read or is invalid.
+/// Logged when the configuration file cannot be read again or is invalid.
 pub const CONFIGURATION_REJECTED: &str = "configuration reload failed";
-/// A configuration file was read again.
+/// Logged when the configuration file has been read again.
 pub const CONFIGURATION_RELOADED: &str = "configuration reloaded";
-/// A watch has ended.
+/// Logged when a watch of the endpoint list has ended.
 pub const WATCH_ENDED: &str = "watch ended";
-/// A call to discovery took too long.
+/// Logged when a call to discovery has timed out.
 pub const CALL_TIMED_OUT: &str = "given up";
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! The proxy as a process, and stand-ins on loopback for its upstreams, its discovery service and its
-//! clients. The system chooses all ports; every wait is for a condition, up to [`TIMEOUT`].
-#![allow(dead_code, unused_imports, reason = "each test file uses its part")]
+//! Starts the proxy as a process, with stubs of its upstreams and its discovery service and with clients, all
+//! on the loopback interface. The operating system chooses all ports. Tests wait for conditions, for up to
+//! [`TIMEOUT`].
+#![allow(dead_code, unused_imports, reason = "each test binary uses only some of the helpers")]
 
 mod client;
 mod config;
--- a/crates/proxy/tests/common/upstream.rs
+++ b/crates/proxy/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for upstreams.
+//! Stubs of upstreams.
 
 use super::Message;
 use std::io::{BufReader, Write};
@@ -6,20 +6,20 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// What an upstream does with each request.
+/// The reaction of an upstream to each request.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Behavior {
-    /// Sends this response and keeps the connection open.
+    /// The upstream sends this response and keeps the connection open.
     Respond(&'static str),
-    /// Sends this response and closes the connection, without a header that says so.
+    /// The upstream sends this response and closes the connection, without announcing that in a header.
     RespondAndClose(&'static str),
-    /// Closes the connection.
+    /// The upstream closes the connection without a response.
     Close,
-    /// Keeps the connection open and never responds.
+    /// The upstream keeps the connection open and never responds.
     NeverRespond,
 }
 
-/// A response by which an upstream has served a request.
+/// A successful response.
 pub const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Own: kept\r\n\r\ndone";
 
 #[derive(Default)]
@@ -29,15 +29,15 @@
     closed_connections: AtomicUsize,
 }
 
-/// An upstream that does the same with every request, and records what it got.
+/// An upstream that handles every request in the same way and records its requests and connections.
 pub struct StubUpstream {
-    /// Where it listens.
+    /// The address at which the upstream listens.
     pub address: SocketAddr,
     record: Arc<Record>,
 }
 
 impl StubUpstream {
-    /// Starts an upstream; it runs until the test process ends.
+    /// Starts an upstream. It runs until the test process ends.
     pub fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -53,17 +53,17 @@
         upstream
     }
 
-    /// The requests it has got.
+    /// Returns the requests that have been received.
     pub fn requests(&self) -> Vec<Message> {
         self.record.requests.lock().unwrap().clone()
     }
 
-    /// How many connections it has accepted.
+    /// Returns how many connections have been accepted.
     pub fn accepted_connections(&self) -> usize {
         self.record.accepted_connections.load(Ordering::SeqCst)
     }
 
-    /// How many connections have been closed, by either side.
+    /// Returns how many connections have been closed by either side.
     pub fn closed_connections(&self) -> usize {
         self.record.closed_connections.load(Ordering::SeqCst)
     }
@@ -73,21 +73,21 @@
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(request) = Message::read(&mut reader) {
         record.requests.lock().unwrap().push(request);
-        if !keeps_connection(&stream, behavior) {
+        if !handle_request(&stream, behavior) {
             break;
         }
     }
-    // Fails where the proxy has closed the connection before.
+    // Fails if the proxy has already closed the connection.
     let _ = stream.shutdown(Shutdown::Both);
     record.closed_connections.fetch_add(1, Ordering::SeqCst);
 }
 
-/// Responds to one request. Returns whether the connection stays open.
-fn keeps_connection(mut stream: &TcpStream, behavior: Behavior) -> bool {
+/// Reacts to one request. Returns whether the connection stays open.
+fn handle_request(mut stream: &TcpStream, behavior: Behavior) -> bool {
     match behavior {
         Behavior::Respond(response) => stream.write_all(response.as_bytes()).is_ok(),
         Behavior::RespondAndClose(response) => {
-            // The connection is closed either way.
+            // The connection is closed even if the response cannot be sent.
             let _ = stream.write_all(response.as_bytes());
             false
         }
@@ -96,7 +96,8 @@
     }
 }
 
-/// An address where nothing listens. Its port stays taken, so that no other stand-in of these tests gets it.
+/// Returns an address at which nothing listens. Its port stays bound, so that no other socket of these tests
+/// gets it.
 pub fn unused_address() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
--- a/crates/proxy/tests/extreme_values.rs
+++ b/crates/proxy/tests/extreme_values.rs
@@ -1,7 +1,7 @@
-//! Values at the edge of their types, in every key of the configuration: a process either refuses to start
-//! and names the key, or it serves, reloads and shuts down.
+//! Extreme values in every key of the configuration. A process either refuses to start and names the key in
+//! its log, or it serves requests, reloads its configuration and shuts down without a panic.
 //!
-//! CI plays a part of the cases, drawn from a seed. All of them by hand:
+//! By default a sample of the cases runs, drawn from a fixed seed. To run all cases:
 //! `EXTREME_VALUES=all cargo test --release -p balancer-proxy --test extreme_values -- --nocapture`.
 
 mod common;
@@ -12,20 +12,20 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// The seed of the cases that CI plays.
+/// Seed for the sample of cases.
 const SEED: u64 = 27;
-/// How many cases CI plays.
-const DRAWN_CASES: usize = 120;
-/// How many processes run at once.
+/// Number of cases in the sample, the value pairs included.
+const SAMPLED_CASES: usize = 120;
+/// Number of cases that run at once, each with a process of its own.
 const PARALLEL_CASES: usize = 12;
-/// Time in which several ticks of the decisions pass.
+/// A period that contains several ticks of the decision logic.
 const SEVERAL_TICKS: Duration = Duration::from_millis(80);
-/// Descriptors of each process.
+/// Limit on the sockets and open files of each process.
 const SOCKETS: usize = 256;
-/// Text in the log of a process in which a task has panicked.
-const PANIC: &str = "panicked";
+/// Text in the log of a process that has panicked.
+const PANIC_TEXT: &str = "panicked";
 
-/// Numbers that a JSON value can carry.
+/// Values for keys that take a number, up to the limits of a 64-bit float.
 const NUMBERS: [&str; 19] = [
     "0",
     "5e-324",
@@ -47,7 +47,7 @@
     "-1",
     "-1e300",
 ];
-/// Whole numbers at the bounds of the integer types.
+/// Values for keys that take an integer: the bounds of the integer types, values outside them and a fraction.
 const INTEGERS: [&str; 14] = [
     "0",
     "1",
@@ -64,10 +64,10 @@
     "-1",
     "1.5",
 ];
-const TEXTS: [&str; 4] = [r#""""#, r#""unknown""#, r#""all""#, "7"];
-const FLAGS: [&str; 3] = ["true", "false", "1"];
+const STRINGS: [&str; 4] = [r#""""#, r#""unknown""#, r#""all""#, "7"];
+const BOOLEANS: [&str; 3] = ["true", "false", "1"];
 
-/// Keys whose value is a number.
+/// Keys that take a number.
 const NUMBER_KEYS: [&str; 35] = [
     "/settings/classes/0/aim_ms",
     "/settings/classes/0/aim_stretch",
@@ -105,7 +105,7 @@
     "/known/targets/0/boot_ms",
     "/known/targets/0/pod_group",
 ];
-/// Keys whose value is a whole number.
+/// Keys that take an integer.
 const INTEGER_KEYS: [&str; 9] = [
     "/settings/balancers",
     "/settings/me",
@@ -117,8 +117,8 @@
     "/limits/sockets",
     "/known/rev",
 ];
-/// Keys whose value is a text.
-const TEXT_KEYS: [&str; 8] = [
+/// Keys that take a string.
+const STRING_KEYS: [&str; 8] = [
     "/settings/discovery",
     "/settings/weight_kind",
     "/settings/worth_by",
@@ -128,8 +128,8 @@
     "/settings/classes/2/dedup_scope",
     "/settings/kind_of_service",
 ];
-/// Keys whose value is a flag.
-const FLAG_KEYS: [&str; 8] = [
+/// Keys that take a boolean.
+const BOOLEAN_KEYS: [&str; 8] = [
     "/settings/limits/cancelling",
     "/settings/limits/second_copies",
     "/settings/limits/may_probe",
@@ -139,8 +139,8 @@
     "/settings/clients/marks_retry",
     "/settings/extra/warm_keys",
 ];
-/// Values that are valid, but in an unusual relation to each other.
-const PAIRS: [[(&str, &str); 2]; 7] = [
+/// Pairs of values that are valid one by one but unusual in combination.
+const VALUE_PAIRS: [[(&str, &str); 2]; 7] = [
     [("/settings/classes/0/aim_ms", "5000"), ("/settings/classes/0/hard_limit_ms", "100")],
     [("/settings/classes/0/aim_ms", "1e300"), ("/settings/classes/0/hard_limit_ms", "1e300")],
     [("/settings/guarantees/cold_from", "50"), ("/settings/guarantees/cold_ms", "0")],
@@ -150,16 +150,16 @@
     [("/settings/parties/0/allowance_per_s", "1e308"), ("/settings/parties/1/allowance_per_s", "1e308")],
 ];
 
-/// A change of the configuration: keys, as JSON pointers, with their values.
+/// Changes to the valid configuration: pairs of a key, as a JSON pointer, and its new value.
 type Case = Vec<(&'static str, &'static str)>;
 
 fn all_cases() -> Vec<Case> {
-    let mut cases: Vec<Case> = PAIRS.iter().map(|pair| pair.to_vec()).collect();
+    let mut cases: Vec<Case> = VALUE_PAIRS.iter().map(|pair| pair.to_vec()).collect();
     for (keys, values) in [
         (&NUMBER_KEYS[..], &NUMBERS[..]),
         (&INTEGER_KEYS[..], &INTEGERS[..]),
-        (&TEXT_KEYS[..], &TEXTS[..]),
-        (&FLAG_KEYS[..], &FLAGS[..]),
+        (&STRING_KEYS[..], &STRINGS[..]),
+        (&BOOLEAN_KEYS[..], &BOOLEANS[..]),
     ] {
         for key in keys {
             cases.extend(values.iter().map(|value| vec![(*key, *value)]));
@@ -168,21 +168,21 @@
     cases
 }
 
-/// All cases, or those that CI plays.
+/// Returns the cases to run: all of them if `EXTREME_VALUES` is `all`, otherwise the sample.
 fn cases() -> Vec<Case> {
     let mut cases = all_cases();
     if std::env::var("EXTREME_VALUES").is_ok_and(|value| value == "all") {
         return cases;
     }
-    fastrand::Rng::with_seed(SEED).shuffle(&mut cases[PAIRS.len()..]);
-    cases.truncate(DRAWN_CASES);
+    fastrand::Rng::with_seed(SEED).shuffle(&mut cases[VALUE_PAIRS.len()..]);
+    cases.truncate(SAMPLED_CASES);
     cases
 }
 
-/// A configuration in which every key has a valid value. One upstream is in slow start.
+/// Returns a configuration in which every key has a valid value. One of its upstreams is in slow start.
 fn valid_configuration(upstream: &StubUpstream) -> Value {
-    let text = ProxyConfig::new(&[upstream.address, upstream.address]).deadline_ms(800).text();
-    let mut configuration: Value = serde_json::from_str(&text).unwrap();
+    let config_json = ProxyConfig::new(&[upstream.address, upstream.address]).deadline_ms(800).to_json();
+    let mut configuration: Value = serde_json::from_str(&config_json).unwrap();
     let settings = &mut configuration["settings"];
     settings["guarantees"] = json!({
         "answer_slack_ms": 20.0, "ask_every_ms": 10000.0, "cold_from": 0.2, "cold_ms": 24000.0,
@@ -201,63 +201,68 @@
     configuration
 }
 
-/// Sets a value at a JSON pointer; the last key may be missing.
-fn set(configuration: &mut Value, pointer: &str, value: &str) {
+/// Sets the value at a JSON pointer, and adds the last key if it is missing.
+fn set_value(configuration: &mut Value, pointer: &str, value: &str) {
     let (parent, key) = pointer.rsplit_once('/').unwrap();
-    let value = serde_json::from_str(value).unwrap_or_else(|_| panic!("{value} is a JSON value"));
-    match configuration.pointer_mut(parent).unwrap_or_else(|| panic!("{parent} is in the configuration")) {
+    let value = serde_json::from_str(value).unwrap_or_else(|_| panic!("{value} is not a JSON value"));
+    match configuration.pointer_mut(parent).unwrap_or_else(|| panic!("{parent} is not in the configuration"))
+    {
         Value::Array(entries) => entries[key.parse::<usize>().unwrap()] = value,
         Value::Object(entries) => {
             entries.insert(key.to_owned(), value);
         }
-        other => panic!("{pointer}: {other} has no entries"),
+        other => panic!("{pointer}: {other} is neither an array nor an object"),
     }
 }
 
-/// Why a case is at fault; `None` if it is not.
-fn fault(case: &Case, configuration: &Value) -> Option<String> {
+/// Runs a case. Returns the reason why it failed, or `None` if it passed.
+fn run_case(case: &Case, configuration: &Value) -> Option<String> {
     let mut proxy = ProxyProcess::launch(&configuration.to_string(), SOCKETS);
-    wait_until("the process listens or ends", || proxy.is_listening() || !proxy.is_running());
-    let fault = if proxy.is_listening() {
-        fault_of_a_serving_process(&mut proxy, configuration)
+    wait_until("the process listens or has ended", || proxy.is_listening() || !proxy.is_running());
+    let failure = if proxy.is_listening() {
+        check_serving_process(&mut proxy, configuration)
     } else {
-        let status = proxy.wait_for_complete_log();
-        fault_of_a_refusal(case, &proxy, status)
+        let status = proxy.wait_for_exit_and_log();
+        check_refusal(case, &proxy, status)
     };
-    if proxy.has_logged(PANIC) { Some(format!("a panic: {:?}", proxy.log())) } else { fault }
+    if proxy.has_logged(PANIC_TEXT) { Some(format!("panicked: {:?}", proxy.log())) } else { failure }
 }
 
-/// A refusal has to name the key by its last part that is not a position.
-fn fault_of_a_refusal(case: &Case, proxy: &ProxyProcess, status: ExitStatus) -> Option<String> {
+/// Checks a process that refused to start. Its log has to name a changed key by the last part of the JSON
+/// pointer that is not an array index, and the exit status has to be 1.
+fn check_refusal(case: &Case, proxy: &ProxyProcess, status: ExitStatus) -> Option<String> {
     let names_a_key = case.iter().any(|(key, _)| {
         let name = key.rsplit('/').find(|part| part.parse::<usize>().is_err()).unwrap();
         proxy.has_logged(name)
     });
     let is_orderly = status.code() == Some(1) && names_a_key;
-    (!is_orderly).then(|| format!("refused with {status}: {:?}", proxy.log()))
+    (!is_orderly).then(|| format!("refused to start with {status}: {:?}", proxy.log()))
 }
 
-fn fault_of_a_serving_process(proxy: &mut ProxyProcess, configuration: &Value) -> Option<String> {
+/// Checks that a process serves requests, also after a reload of its configuration, and shuts down
+/// successfully.
+fn check_serving_process(proxy: &mut ProxyProcess, configuration: &Value) -> Option<String> {
     for _ in 0..2 {
-        if let Some(request) = unanswered_request(proxy) {
+        if let Some(request) = find_unanswered_request(proxy) {
             return Some(format!("no response to {request}: {:?}", proxy.log()));
         }
         std::thread::sleep(SEVERAL_TICKS);
     }
     proxy.reload(&configuration.to_string());
-    wait_until("the configuration is read again", || {
+    wait_until("the configuration is read again or the process has ended", || {
         proxy.has_logged(log_text::CONFIGURATION_RELOADED) || !proxy.is_running()
     });
-    if let Some(request) = unanswered_request(proxy) {
-        return Some(format!("no response behind a reload to {request}: {:?}", proxy.log()));
+    if let Some(request) = find_unanswered_request(proxy) {
+        return Some(format!("no response after a reload to {request}: {:?}", proxy.log()));
     }
     proxy.terminate();
-    let status = proxy.wait_for_complete_log();
-    (!status.success()).then(|| format!("ended with {status}: {:?}", proxy.log()))
+    let status = proxy.wait_for_exit_and_log();
+    (!status.success()).then(|| format!("shut down with {status}: {:?}", proxy.log()))
 }
 
-/// Sends a request of each class; the first that has no response.
-fn unanswered_request(proxy: &ProxyProcess) -> Option<String> {
+/// Sends requests of each class, and returns the first one that gets no response. Returns `None` if all get
+/// one, or if the process accepts no connection.
+fn find_unanswered_request(proxy: &ProxyProcess) -> Option<String> {
     let mut client = proxy.try_connect().ok()?;
     let keyed = at_most_once_request(500, "x").replacen("/book", "/keyed", 1).replacen(
         "Host:",
@@ -280,34 +285,38 @@
     None
 }
 
-/// A panic ends the whole process with all requests that it holds.
+/// Guards against a panic caused by an extreme value, which ends the whole process with all its requests.
 #[test]
-fn every_value_is_refused_by_name_or_served() {
+fn a_process_serves_requests_or_names_the_key_that_it_rejects() {
     let upstream = StubUpstream::start(Behavior::Respond(
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: util=1e30,inflight=-7\r\n\r\nok",
     ));
     let valid = valid_configuration(&upstream);
     let cases = cases();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let next_case = AtomicUsize::new(0);
-    let faults: Vec<String> = std::thread::scope(|scope| {
+    let failures: Vec<String> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..PARALLEL_CASES)
-            .map(|_| scope.spawn(|| faults_of_remaining_cases(&cases, &next_case, &valid)))
+            .map(|_| scope.spawn(|| run_remaining_cases(&cases, &next_case, &valid)))
             .collect();
-        workers.into_iter().flat_map(|worker| worker.join().expect("a case can be played")).collect()
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().expect("the case runner does not panic"))
+            .collect()
     });
-    println!("{} cases in {:?}, {} at fault", cases.len(), began.elapsed(), faults.len());
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    println!("{} cases in {:?}, {} failed", cases.len(), started_at.elapsed(), failures.len());
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-fn faults_of_remaining_cases(cases: &[Case], next_case: &AtomicUsize, valid: &Value) -> Vec<String> {
-    let mut faults = Vec::new();
+/// Runs cases until none is left. Returns the failures.
+fn run_remaining_cases(cases: &[Case], next_case: &AtomicUsize, valid: &Value) -> Vec<String> {
+    let mut failures = Vec::new();
     while let Some(case) = cases.get(next_case.fetch_add(1, Ordering::Relaxed)) {
         let mut configuration = valid.clone();
         for (key, value) in case {
-            set(&mut configuration, key, value);
+            set_value(&mut configuration, key, value);
         }
-        faults.extend(fault(case, &configuration).map(|fault| format!("{case:?}: {fault}")));
+        failures.extend(run_case(case, &configuration).map(|reason| format!("{case:?}: {reason}")));
     }
-    faults
+    failures
 }
--- a/crates/proxy/tests/large_fleet.rs
+++ b/crates/proxy/tests/large_fleet.rs
@@ -1,6 +1,6 @@
-//! Processes of the balancer in a fleet of thousands of servers, under faults drawn from a seed.
+//! Soak test of balancer processes in front of thousands of servers, with faults drawn from a seed.
 //!
-//! By hand, with more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test large_fleet --
+//! To run more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test large_fleet --
 //! --nocapture`.
 
 use std::path::Path;
@@ -9,18 +9,19 @@
 use testbed::client::ResponseCounts;
 use testbed::soak::{self, Plan, Report};
 
-/// The grace for draining servers, 300 ms, and what a busy machine may add to it.
+/// Grace period for requests to a draining server, 300 ms, plus a tolerance of 100 ms for a busy machine.
 const DRAIN_GRACE: Duration = Duration::from_millis(300 + 100);
-/// Seeds used where `SOAK_SEEDS` states no number of them. The code before 34b7ad0 broke the rule with each.
+/// Seeds to run if `SOAK_SEEDS` is not set to a number. The code before commit 34b7ad0 broke the drain rule
+/// with each of them.
 const DEFAULT_SEEDS: [u64; 3] = [1, 8, 10];
-/// Violations of a seed that are printed with the log of their process.
+/// Number of violations that are printed for each seed, each with the log of its process.
 const PRINTED_VIOLATIONS: usize = 1;
-/// A run with fewer served requests has tested too little.
+/// A run must serve more requests than this to be meaningful.
 const MIN_SERVED: usize = 100;
-/// One request in so many may be rejected or fail.
-const MAX_NOT_SERVED_DIVISOR: usize = 50;
+/// The served requests must outnumber the rejected or failed ones by more than this factor.
+const MIN_SERVED_PER_NOT_SERVED: usize = 50;
 
-/// A fleet of the largest size.
+/// A fleet of the maximum size.
 const LARGE_FLEET: Plan = Plan {
     servers: 3200,
     groups: 40,
@@ -37,7 +38,7 @@
     steps_clock: true,
 };
 
-/// The seeds 1 to `SOAK_SEEDS`, or the default ones.
+/// Returns the seeds 1 to `SOAK_SEEDS`, or the default seeds if this variable is not a number.
 fn seeds() -> Vec<u64> {
     let count = std::env::var("SOAK_SEEDS").ok().and_then(|count| count.parse().ok());
     count.map_or_else(|| DEFAULT_SEEDS.to_vec(), |count: u64| (1..=count).collect())
@@ -63,45 +64,48 @@
     }
 }
 
-/// Whether requests were served, nearly all of them, and no request or process was lost.
-fn has_served(report: &Report) -> bool {
+/// Returns whether enough requests were served, nearly all requests were served, each request got a response
+/// and no process crashed.
+fn has_served_reliably(report: &Report) -> bool {
     let ResponseCounts { served, not_served, unanswered } = report.responses;
     served > MIN_SERVED
-        && not_served * MAX_NOT_SERVED_DIVISOR < served
+        && not_served * MIN_SERVED_PER_NOT_SERVED < served
         && unanswered == 0
         && report.crashes == 0
 }
 
-/// Runs a plan with all seeds and fails with those that broke the drain rule or were hardly served.
+/// Runs a plan with each seed. Panics with the seeds whose run broke the drain rule or did not serve
+/// reliably.
 fn run_seeds(name: &str, plan: Plan) {
-    let folder = std::env::temp_dir().join(format!("{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("the folder for configurations can be created");
+    let directory = std::env::temp_dir().join(format!("{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("the directory for configurations can be created");
     let program = Path::new(env!("CARGO_BIN_EXE_balancer-proxy"));
-    let mut failed = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in seeds() {
-        let report = soak::run(plan, seed, program, &folder).expect("the run can be carried out");
+        let report = soak::run(plan, seed, program, &directory).expect("the run can be carried out");
         println!("{name}, seed {seed}: {}", summary(&report));
         print_violations(&report);
-        if !report.violations.is_empty() || !has_served(&report) {
-            failed.push(seed);
+        if !report.violations.is_empty() || !has_served_reliably(&report) {
+            failed_seeds.push(seed);
         }
     }
-    // What is left in the temporary folder fails no test.
-    let _ = std::fs::remove_dir_all(&folder);
-    assert!(failed.is_empty(), "seeds {failed:?}");
+    // Files that remain in the temporary directory do no harm.
+    let _ = std::fs::remove_dir_all(&directory);
+    assert!(failed_seeds.is_empty(), "failed seeds: {failed_seeds:?}");
 }
 
-/// Guards the drain rule in large fleets, with updates in chunks, broken watches and processes that start
-/// with an old list.
+/// Guards against requests to draining servers after the grace period, caused by updates in chunks, truncated
+/// updates, closed watches or processes that start with an outdated list.
 #[test]
-fn a_large_fleet_drains_safely() {
+fn draining_servers_of_a_large_fleet_get_no_requests_after_the_grace_period() {
     run_seeds("large-fleet", LARGE_FLEET);
 }
 
-/// Guards the same, and the response to each request, where system calls fail in permitted ways: reads and
-/// writes are interrupted or short; accept, socket and connect lack resources for a moment.
+/// Guards against lost requests and late requests to draining servers when system calls fail as an operating
+/// system may let them fail: reads and writes are interrupted or incomplete, and accept, socket and connect
+/// temporarily lack resources.
 #[test]
-fn failing_system_calls_lose_no_request() {
+fn no_request_is_lost_when_system_calls_fail() {
     let plan = Plan { servers: 400, groups: 20, system_faults_per_mille: 50, ..LARGE_FLEET };
     run_seeds("system-faults", plan);
 }
--- a/crates/proxy/tests/lifecycle.rs
+++ b/crates/proxy/tests/lifecycle.rs
@@ -1,16 +1,16 @@
-//! The life of the process: its configuration, the reload by SIGHUP, and the graceful shutdown by SIGTERM.
+//! Start, reload and shutdown of the process: errors in the configuration, SIGHUP and SIGTERM.
 
 mod common;
 
 use common::*;
 use std::process::{Command, Stdio};
 
-/// A proxy that starts with a part of its configuration would surprise its operator.
+/// Guards against a proxy that ignores an invalid part of its configuration and starts without it.
 #[test]
-fn an_invalid_configuration_ends_the_process_with_an_error_that_names_the_fault() {
+fn an_invalid_configuration_ends_the_process_with_an_error_that_names_the_cause() {
     let path = std::env::temp_dir().join(format!("balancer-proxy-bad-{}.json", std::process::id()));
-    let valid = ProxyConfig::new(&[]).text();
-    for (from, to, named) in [
+    let valid = ProxyConfig::new(&[]).to_json();
+    for (from, to, cause) in [
         ("idempotent", "perhaps", "perhaps"),
         ("\"seed\"", "\"seeds\"", "seed"),
         ("\"balancers\":1", "\"balancers\":0", "balancers"),
@@ -20,7 +20,7 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"));
         let output = command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && error.contains(named), "{error}");
+        assert!(!output.status.success() && error.contains(cause), "{error}");
     }
     std::fs::remove_file(&path).unwrap();
 
@@ -29,10 +29,11 @@
     assert!(!output.status.success());
 }
 
-/// When discovery has moved, the watch goes to the new address and continues from the revision at hand;
-/// nothing that the old one does later counts. A configuration that can't be read changes nothing.
+/// When a reload changes the address of discovery, the proxy starts a watch at the new address from the
+/// revision that it has, and ignores the old discovery service. A malformed configuration file changes
+/// nothing.
 #[test]
-fn a_reload_moves_the_watch_to_the_new_address_of_discovery_and_keeps_connections() {
+fn a_reload_moves_the_watch_to_the_new_address_of_discovery_and_keeps_connections_open() {
     let WatchingProxy {
         upstream: first,
         discovery: old_discovery,
@@ -47,66 +48,78 @@
     old_watch.send_line(&snapshot(7, &[endpoint("s-0", first.address, EndpointState::Ready)]));
 
     proxy.reload("{");
-    wait_until("the malformed file is rejected", || proxy.has_logged(log_text::CONFIGURATION_REJECTED));
-    proxy.reload(&config.text());
-    wait_until("the valid file is read", || proxy.has_logged(log_text::CONFIGURATION_RELOADED));
-    proxy.reload(&config.discovery(new_discovery.address).text());
+    wait_until("the malformed configuration file is rejected", || {
+        proxy.has_logged(log_text::CONFIGURATION_REJECTED)
+    });
+    proxy.reload(&config.to_json());
+    wait_until("the valid configuration file is read", || proxy.has_logged(log_text::CONFIGURATION_RELOADED));
+    proxy.reload(&config.discovery(new_discovery.address).to_json());
 
-    // The old watch stays alive: its silence must not be what brings the call.
+    // The old watch is kept alive, so that the call is caused by the reload and not by a timeout of the
+    // watch.
     let mut call = None;
-    wait_until("the watch is begun at the new address", || {
+    wait_until("the watch is started at the new address", || {
         // Fails once the proxy has ended the old watch.
         let _ = old_watch.try_send_chunk("\n");
         call = new_discovery.try_next_call();
         call.is_some()
     });
-    let call = call.expect("a call");
+    let call = call.expect("the proxy calls the new address");
     assert!(call.target.contains("stream=1") && call.target.contains("index=7"), "{}", call.target);
-    assert!(old_discovery.try_next_call().is_none(), "a reload with the same address causes no call");
+    assert!(
+        old_discovery.try_next_call().is_none(),
+        "a reload with an unchanged address should cause no call"
+    );
     drop(old_watch);
     drop(old_discovery);
     assert_eq!(client.exchange(&at_most_once_request(5000, "x")).status(), 200);
-    assert_eq!(first.accepted_connections(), 1, "connections stay open");
+    assert_eq!(first.accepted_connections(), 1, "the connection to the upstream should stay open");
     call.watch.send_line(&snapshot(8, &[endpoint("s-1", second.address, EndpointState::Ready)]));
     wait_until("the list of the new address takes effect", || {
         client.exchange(&at_most_once_request(5000, "x"));
         !second.requests().is_empty()
     });
-    assert!(new_discovery.try_next_call().is_none(), "one call was enough");
+    assert!(new_discovery.try_next_call().is_none(), "the proxy should call the new address only once");
     assert!(proxy.is_running());
 }
 
-/// After SIGTERM the readiness check fails, connections are closed behind their next response, requests in
-/// flight get their final response, and the process ends by itself.
+/// After SIGTERM readiness checks fail, each connection is closed after its next response, requests in flight
+/// get their final response, and the process ends by itself.
 #[test]
 fn a_graceful_shutdown_responds_to_all_requests_in_flight() {
     let upstream = StubUpstream::start(Behavior::NeverRespond);
     let mut proxy = ProxyConfig::new(&[upstream.address]).deadline_ms(60_000).start();
-    let mut in_flight = proxy.connect();
-    let mut idle = proxy.connect();
-    assert_eq!(idle.exchange(READINESS_CHECK).status(), 200);
-    in_flight.send(&at_most_once_request(60_000, "x"));
-    wait_until("the upstream has got the request", || upstream.requests().len() == 1);
+    let mut active_client = proxy.connect();
+    let mut idle_client = proxy.connect();
+    assert_eq!(idle_client.exchange(READINESS_CHECK).status(), 200);
+    active_client.send(&at_most_once_request(60_000, "x"));
+    wait_until("the upstream has received the request", || upstream.requests().len() == 1);
 
     proxy.terminate();
 
     let mut status = 200;
-    wait_until("the proxy is not ready any more", || {
+    wait_until("the proxy reports that it is not ready", || {
         status = proxy.connect().exchange(READINESS_CHECK).status();
         status == 503
     });
-    let response = in_flight.response().expect("a response before the connection is closed");
-    assert!(response.says_possibly_executed(), "{response:?}");
-    assert!(idle.is_closed(), "idle connections are closed");
-    assert!(proxy.wait().success());
+    let response = active_client
+        .response()
+        .expect("the request in flight gets a response before its connection is closed");
+    assert!(response.reports_possible_execution(), "{response:?}");
+    assert!(
+        idle_client.closes_without_more_data(),
+        "the idle connection should be closed without a response"
+    );
+    assert!(proxy.wait_for_exit().success());
 }
 
-/// Settings that can be used but do not mean what they seem to are told at the start, and the balancer serves.
+/// Guards against settings that are accepted without notice but cannot take effect as written. The proxy logs
+/// them and serves requests.
 #[test]
-fn unknown_values_and_a_class_that_can_never_be_served_are_logged_at_the_start() {
+fn unknown_values_and_a_class_that_can_never_be_served_are_logged_at_startup() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let short_class = r#"{"name":"keyed","aim_ms":1,"hard_limit_ms":0.5,"effect":"idempotent"}"#;
-    let config = ProxyConfig::new(&[upstream.address]).text();
+    let config = ProxyConfig::new(&[upstream.address]).to_json();
     let keyed_class =
         &config[config.find(r#"{"name":"keyed""#).unwrap()..config.find(r#"],"discovery""#).unwrap()];
     let config = config
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -1,18 +1,18 @@
-//! Requests that are malformed, incomplete or not allowed: they get a client error, are not forwarded, and
-//! the proxy keeps running.
+//! Requests that are malformed, incomplete or not allowed. The proxy answers them with a client error, does
+//! not forward them, and keeps running.
 
 mod common;
 
 use common::*;
 
-/// The longest request head that the proxy accepts.
+/// Size of the largest request head that the proxy accepts.
 const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
-/// The largest body that the proxy accepts.
+/// Size of the largest request body that the proxy accepts.
 const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// The length and the body of a request with the body `x`.
+/// The `Content-Length` header and the body of a request whose body is `x`.
 const LENGTH_AND_BODY: &str = "Content-Length: 1\r\n\r\nx";
 
-/// What is replaced in a valid request, and by what, to make it malformed.
+/// Pairs of a part of a valid request and its replacement, each of which makes the request invalid.
 const REPLACEMENTS: [(&str, &str); 28] = [
     ("/book/day", "/nothing"),
     ("/book/day", "/%ff%00"),
@@ -44,60 +44,60 @@
     (" HTTP/1.1", ""),
 ];
 
-/// A request with this body in one chunk.
-fn chunked_request(valid: &str, body: &str) -> String {
+/// Returns a valid request with its body replaced by `body` in one chunk.
+fn chunked_request(valid_request: &str, body: &str) -> String {
     let chunked = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
-    valid.replacen(LENGTH_AND_BODY, &chunked, 1)
+    valid_request.replacen(LENGTH_AND_BODY, &chunked, 1)
 }
 
 #[test]
-fn malformed_requests_get_a_client_error_and_are_not_forwarded() {
+fn invalid_requests_get_a_client_error_and_are_not_forwarded() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let mut proxy = ProxyConfig::new(&[upstream.address]).start();
-    let valid = at_most_once_request(5000, "x");
+    let valid_request = at_most_once_request(5000, "x");
 
     for (from, to) in REPLACEMENTS {
-        let malformed = valid.replacen(from, to, 1);
-        assert_ne!(malformed, valid);
-        let response = proxy.connect().exchange(&malformed);
+        let invalid_request = valid_request.replacen(from, to, 1);
+        assert_ne!(invalid_request, valid_request);
+        let response = proxy.connect().exchange(&invalid_request);
         let is_client_error = (400..500).contains(&response.status()) && response.status() != 429;
-        assert!(is_client_error, "{malformed:?}: {response:?}");
+        assert!(is_client_error, "{invalid_request:?}: {response:?}");
     }
-    let too_long = "y".repeat(MAX_REQUEST_BODY_BYTES + 1);
-    let response = proxy.connect().exchange(&chunked_request(&valid, &too_long));
+    let too_long_body = "y".repeat(MAX_REQUEST_BODY_BYTES + 1);
+    let response = proxy.connect().exchange(&chunked_request(&valid_request, &too_long_body));
     assert_eq!(response.status(), 413);
     proxy.connect().send("\u{1}\u{2} nonsense\r\n\r\n");
     assert!(upstream.requests().is_empty());
 
-    // Without a second length a chunked body is valid.
-    assert_eq!(proxy.connect().exchange(&chunked_request(&valid, "x")).status(), 200);
-    let longest = &too_long[1..];
-    assert_eq!(proxy.connect().exchange(&at_most_once_request(5000, longest)).status(), 200);
+    // A chunked body without a `Content-Length` is valid.
+    assert_eq!(proxy.connect().exchange(&chunked_request(&valid_request, "x")).status(), 200);
+    let longest_body = &too_long_body[1..];
+    assert_eq!(proxy.connect().exchange(&at_most_once_request(5000, longest_body)).status(), 200);
     assert!(proxy.is_running());
 }
 
-/// The body is valid by its chunks, so that only the second length is at fault: a recipient that trusts the
-/// other one would take the rest of the body for a request.
+/// Guards against request smuggling: a recipient that uses the other of the two lengths would take the rest
+/// of the body for a request. The chunks are valid, so that the second length is the only error.
 #[test]
-fn a_request_with_two_lengths_is_rejected_though_its_chunks_are_valid() {
+fn a_request_with_valid_chunks_and_a_content_length_is_rejected() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let proxy = ProxyConfig::new(&[upstream.address]).start();
-    let valid = chunked_request(&at_most_once_request(5000, "x"), "x");
+    let valid_request = chunked_request(&at_most_once_request(5000, "x"), "x");
 
-    for lengths in [
+    for length_headers in [
         "Content-Length: 1\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 1",
         "Transfer-Encoding: chunked\r\ncontent-LENGTH: 1",
     ] {
-        let request = valid.replacen("Transfer-Encoding: chunked", lengths, 1);
-        assert_eq!(proxy.connect().exchange(&request).status(), 400, "{lengths:?}");
+        let request = valid_request.replacen("Transfer-Encoding: chunked", length_headers, 1);
+        assert_eq!(proxy.connect().exchange(&request).status(), 400, "{length_headers:?}");
     }
 
     assert!(upstream.requests().is_empty());
-    assert_eq!(proxy.connect().exchange(&valid).status(), 200);
+    assert_eq!(proxy.connect().exchange(&valid_request).status(), 200);
 }
 
-/// A request whose head has this length.
+/// Returns a request whose head has this length in bytes.
 fn request_with_head_of(length: usize) -> String {
     let request = idempotent_request(5000);
     let padding = length - request.len() - "X-Padding: \r\n".len();
@@ -106,21 +106,21 @@
     request
 }
 
-/// The status of the response to a request that arrives in pieces of this length.
+/// Sends a request in pieces of at most `piece_length` bytes and returns the status code of the response.
 fn status_of(proxy: &ProxyProcess, request: &str, piece_length: usize) -> u16 {
     let client = proxy.connect();
     let mut writer = client.writer();
     for piece in request.as_bytes().chunks(piece_length) {
-        // The proxy may close the connection before it has the rest.
+        // The proxy may close the connection before it has read the whole request.
         if std::io::Write::write_all(&mut writer, piece).is_err() {
             break;
         }
     }
     let mut client = client;
-    client.response().expect("a response").status()
+    client.response().expect("the proxy sends a response").status()
 }
 
-/// The limit holds to the byte, however a head arrives.
+/// The limit is exact to the byte, whatever the pieces in which a head arrives.
 #[test]
 fn a_request_head_over_the_limit_is_rejected_and_one_at_the_limit_is_served() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
@@ -138,16 +138,16 @@
     }
 }
 
-/// What does not fit into the buffer of a connection, either.
+/// Guards the rejection of a head that is too long for the read buffer of a connection.
 #[test]
 fn a_request_head_far_over_the_limit_is_rejected_while_it_arrives() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let mut proxy = ProxyConfig::new(&[upstream.address]).start();
     let mut client = proxy.connect();
 
-    // Without its end, so that nothing is unread when the connection closes.
+    // The head is sent without its end, so that the proxy has read everything when it closes the connection.
     client.send(&request_with_head_of(4 * MAX_REQUEST_HEAD_BYTES)[..2 * MAX_REQUEST_HEAD_BYTES]);
 
-    assert_eq!(client.response().expect("a response").status(), 431);
+    assert_eq!(client.response().expect("the proxy sends a response").status(), 431);
     assert!(upstream.requests().is_empty() && proxy.is_running());
 }
--- a/crates/proxy/tests/shutdown_soak.rs
+++ b/crates/proxy/tests/shutdown_soak.rs
@@ -1,6 +1,6 @@
-//! The end of a process under traffic, with what a seed draws.
+//! Soak test of the shutdown of a process under traffic, with a plan drawn from a seed.
 //!
-//! By hand, with more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test shutdown_soak --
+//! To run more seeds: `SOAK_SEEDS=50 cargo test --release -p balancer-proxy --test shutdown_soak --
 //! --nocapture`.
 
 use std::path::{Path, PathBuf};
@@ -8,75 +8,79 @@
 use std::thread;
 use testbed::shutdown::{self, Report};
 
-/// Seeds used where `SOAK_SEEDS` states no number of them.
+/// Seeds to run if `SOAK_SEEDS` is not set to a number.
 const DEFAULT_SEEDS: [u64; 3] = [1, 2, 3];
-/// How many runs go on at once.
+/// Number of runs at once.
 const PARALLEL_RUNS: usize = 3;
-/// Fewer requests a run, over all runs, have tested too little. A single run may have upstreams that never
-/// respond only.
+/// Minimum mean number of requests per run for the soak test to be meaningful. A single run may have fewer,
+/// since all its upstreams may be of the kind that never responds.
 const MIN_MEAN_REQUESTS: usize = 20;
 
-/// The seeds 1 to `SOAK_SEEDS`, or the default ones.
+/// Returns the seeds 1 to `SOAK_SEEDS`, or the default seeds if this variable is not a number.
 fn seeds() -> Vec<u64> {
     let count = std::env::var("SOAK_SEEDS").ok().and_then(|count| count.parse().ok());
     count.map_or_else(|| DEFAULT_SEEDS.to_vec(), |count: u64| (1..=count).collect())
 }
 
-fn is_at_fault(report: &Report) -> bool {
+/// Returns whether a request was lost or the process crashed.
+fn has_failed(report: &Report) -> bool {
     !report.lost.is_empty() || report.has_crashed
 }
 
-fn run_seed(seed: u64, folder: &Path) -> Report {
-    let folder = folder.join(seed.to_string());
-    std::fs::create_dir_all(&folder).expect("the folder of a run can be created");
+/// Runs a seed and prints its result.
+fn run_seed(seed: u64, directory: &Path) -> Report {
+    let directory = directory.join(seed.to_string());
+    std::fs::create_dir_all(&directory).expect("the directory of a run can be created");
     let program = Path::new(env!("CARGO_BIN_EXE_balancer-proxy"));
-    let report = shutdown::run(seed, program, &folder).expect("the run can be carried out");
+    let report = shutdown::run(seed, program, &directory).expect("the run can be carried out");
     let Report { requests, served, not_read, lost, has_crashed, was_killed, .. } = &report;
     println!(
         "seed {seed}: requests={requests} served={served} not_read={not_read} lost={} crashed={has_crashed} \
          killed={was_killed}",
         lost.len()
     );
-    if is_at_fault(&report) {
+    if has_failed(&report) {
         println!("  {}\n  {:#?}", report.plan, report.lost.iter().take(2).collect::<Vec<_>>());
     }
     report
 }
 
-/// The results of several runs.
+/// Combined results of several runs.
 #[derive(Default)]
 struct Summary {
     requests: usize,
-    seeds_at_fault: Vec<u64>,
+    failed_seeds: Vec<u64>,
 }
 
-fn run_remaining_seeds(seeds: &[u64], next: &AtomicUsize, folder: &Path) -> Summary {
+/// Runs seeds until none is left. Returns their combined results.
+fn run_remaining_seeds(seeds: &[u64], next_seed: &AtomicUsize, directory: &Path) -> Summary {
     let mut summary = Summary::default();
-    while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
-        let report = run_seed(*seed, folder);
+    while let Some(seed) = seeds.get(next_seed.fetch_add(1, Ordering::Relaxed)) {
+        let report = run_seed(*seed, directory);
         summary.requests += report.requests;
-        if is_at_fault(&report) {
-            summary.seeds_at_fault.push(*seed);
+        if has_failed(&report) {
+            summary.failed_seeds.push(*seed);
         }
     }
     summary
 }
 
-/// Guards the response to each request that a process has read when it is told to end.
+/// Guards against requests that the process has read but leaves without a response when it shuts down after
+/// SIGTERM.
 #[test]
-fn a_process_that_is_told_to_end_loses_no_request() {
-    let folder: PathBuf = std::env::temp_dir().join(format!("shutdown-soak-{}", std::process::id()));
+fn no_request_is_lost_on_shutdown() {
+    let directory: PathBuf = std::env::temp_dir().join(format!("shutdown-soak-{}", std::process::id()));
     let seeds = seeds();
-    let next = AtomicUsize::new(0);
+    let next_seed = AtomicUsize::new(0);
     let summaries: Vec<Summary> = thread::scope(|scope| {
-        let run = || run_remaining_seeds(&seeds, &next, &folder);
+        let run = || run_remaining_seeds(&seeds, &next_seed, &directory);
         let runs: Vec<_> = (0..PARALLEL_RUNS).map(|_| scope.spawn(run)).collect();
-        runs.into_iter().map(|run| run.join().expect("a run can be carried out")).collect()
+        runs.into_iter().map(|run| run.join().expect("the soak thread does not panic")).collect()
     });
-    // What is left in the temporary folder fails no test.
-    let _ = std::fs::remove_dir_all(&folder);
+    // Files that remain in the temporary directory do no harm.
+    let _ = std::fs::remove_dir_all(&directory);
     let requests: usize = summaries.iter().map(|summary| summary.requests).sum();
-    let at_fault: Vec<u64> = summaries.into_iter().flat_map(|summary| summary.seeds_at_fault).collect();
-    assert!(at_fault.is_empty(), "seeds {at_fault:?}");
-    assert!(requests >= MIN_MEAN_REQUESTS * seeds.len(), "only {requests} requests");
+    let failed_seeds: Vec<u64> = summaries.into_iter().flat_map(|summary| summary.failed_seeds).collect();
+    assert!(failed_seeds.is_empty(), "failed seeds: {failed_seeds:?}");
+    assert!(requests >= MIN_MEAN_REQUESTS * seeds.len(), "only {requests} requests were sent");
 }
