--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// A readiness check.
+/// A request for the readiness of the proxy.
 pub const READINESS_CHECK: &str = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
 /// Returns a request of the class `book`, which must be executed at most once.
--- a/crates/proxy/tests/common/config.rs
+++ b/crates/proxy/tests/common/config.rs
@@ -3,7 +3,7 @@
 use super::{EndpointState, ProxyProcess, endpoint, snapshot, unused_address, wait_until};
 use std::net::SocketAddr;
 
-/// Which part of the proxy starts the watch of the endpoint list.
+/// The part of the proxy that starts the watch of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// The proxy starts the watch when the process starts.
@@ -35,7 +35,7 @@
 
 impl ProxyConfig {
     /// Creates a configuration whose cached endpoint list contains these upstreams, named `s-0`, `s-1` and so
-    /// on. Nothing listens at its address of discovery.
+    /// on. Nothing listens at the address of discovery, as if it were down.
     pub fn new(upstreams: &[SocketAddr]) -> Self {
         let ready_endpoint = |(number, address): (usize, &SocketAddr)| {
             endpoint(&format!("s-{number}"), *address, EndpointState::Ready)
--- a/crates/proxy/tests/common/http.rs
+++ b/crates/proxy/tests/common/http.rs
@@ -32,7 +32,8 @@
         self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// Returns the second word of the start line, which is the target of a request.
+    /// Returns the second word of the start line, which is the target of a request or the status code of a
+    /// response.
     pub fn target(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or_default()
     }
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -42,7 +42,7 @@
         .discovery_mode(DiscoveryMode::Subscribe)
         .start();
 
-    // Each watch first gets a line, because the decision logic repeats a poll without a response anyway.
+    // Each watch first gets a list. Without one, the decision logic would call again for lack of a response.
     let silent = discovery.next_call();
     silent.watch.send_line(&snapshot(2, &[]));
     let trickling = discovery.next_call();
@@ -154,7 +154,7 @@
 fn respond_to_all_calls(discovery: TcpListener, list: String) {
     std::thread::spawn(move || {
         for mut stream in discovery.incoming().map_while(Result::ok) {
-            // Earlier calls may have been closed by the proxy.
+            // The proxy may have closed the connections of earlier calls.
             if Message::read(&mut BufReader::new(&stream)).is_some() {
                 let _ = stream.write_all(RESPONSE_HEAD.as_bytes());
                 let _ = write!(&stream, "{:x}\r\n{list}\n\r\n", list.len() + 1);
--- a/crates/proxy/tests/extreme_values.rs
+++ b/crates/proxy/tests/extreme_values.rs
@@ -169,7 +169,7 @@
 }
 
 /// Returns the cases to run: all of them if `EXTREME_VALUES` is `all`, otherwise the sample.
-fn cases() -> Vec<Case> {
+fn selected_cases() -> Vec<Case> {
     let mut cases = all_cases();
     if std::env::var("EXTREME_VALUES").is_ok_and(|value| value == "all") {
         return cases;
@@ -229,7 +229,7 @@
 }
 
 /// Checks a process that refused to start. Its log has to name a changed key by the last part of the JSON
-/// pointer that is not an array index, and the exit status has to be 1.
+/// pointer that is not an array index, and the exit status has to be 1. Returns what is wrong, if anything.
 fn check_refusal(case: &Case, proxy: &ProxyProcess, status: ExitStatus) -> Option<String> {
     let names_a_key = case.iter().any(|(key, _)| {
         let name = key.rsplit('/').find(|part| part.parse::<usize>().is_err()).unwrap();
@@ -240,7 +240,7 @@
 }
 
 /// Checks that a process serves requests, also after a reload of its configuration, and shuts down
-/// successfully.
+/// successfully. Returns what is wrong, if anything.
 fn check_serving_process(proxy: &mut ProxyProcess, configuration: &Value) -> Option<String> {
     for _ in 0..2 {
         if let Some(request) = find_unanswered_request(proxy) {
@@ -292,7 +292,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: util=1e30,inflight=-7\r\n\r\nok",
     ));
     let valid = valid_configuration(&upstream);
-    let cases = cases();
+    let cases = selected_cases();
     let started_at = Instant::now();
     let next_case = AtomicUsize::new(0);
     let failures: Vec<String> = std::thread::scope(|scope| {
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -14,8 +14,8 @@
 /// A response whose body is shorter than its `Content-Length`.
 const TRUNCATED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nhalf";
 
-/// The proxy forwards the request line, headers and body, reduces the time left, and
-/// reuses the connections on both sides.
+/// The proxy forwards the request line, headers and body, reduces the time left, and reuses the connections
+/// on both sides.
 #[test]
 fn requests_and_responses_pass_unchanged_on_reused_connections() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
@@ -86,7 +86,7 @@
     assert!(retry_after_seconds > 0.0 && retry_after_seconds <= 1.0, "{retry_after_seconds}");
 }
 
-/// Guards against requests on a connection that the upstream has closed. Such a failure cannot be
+/// Guards against sending a request on a connection that the upstream has closed. This failure cannot be
 /// distinguished from one after the request was executed.
 #[test]
 fn an_upstream_connection_that_was_closed_while_idle_is_not_reused() {
@@ -151,18 +151,17 @@
 fn a_request_with_the_id_of_a_request_in_flight_is_rejected_without_affecting_the_first() {
     let upstream = StubUpstream::start(Behavior::NeverRespond);
     let proxy = ProxyConfig::new(&[upstream.address]).start();
-    let mut first = proxy.connect();
-    let mut second = proxy.connect();
-    first.send(&at_most_once_request(3000, "x"));
+    let mut first_client = proxy.connect();
+    let mut second_client = proxy.connect();
+    first_client.send(&at_most_once_request(3000, "x"));
     wait_until("the upstream has received the request", || upstream.requests().len() == 1);
 
     for _ in 0..2 {
-        assert_eq!(second.exchange(&at_most_once_request(3000, "x")).status(), 409);
+        assert_eq!(second_client.exchange(&at_most_once_request(3000, "x")).status(), 409);
     }
 
-    assert_eq!(first.response().expect("the first request gets its own response").status(), 502);
+    assert_eq!(first_client.response().expect("the first request gets its own response").status(), 502);
     assert_eq!((upstream.requests().len(), upstream.accepted_connections()), (1, 1));
-    // After the first request has ended, its id may be used again. The new request may get any status but
-    // 409.
+    // The id may be used again after the first request has ended. The response may have any status but 409.
     assert_ne!(proxy.connect().exchange(&at_most_once_request(1000, "x")).status(), 409);
 }
--- a/crates/proxy/tests/large_fleet.rs
+++ b/crates/proxy/tests/large_fleet.rs
@@ -16,9 +16,9 @@
 const DEFAULT_SEEDS: [u64; 3] = [1, 8, 10];
 /// Number of violations that are printed for each seed, each with the log of its process.
 const PRINTED_VIOLATIONS: usize = 1;
-/// A run must serve more requests than this to be meaningful.
+/// Number of served requests that a run has to exceed to be meaningful.
 const MIN_SERVED: usize = 100;
-/// The served requests must outnumber the rejected or failed ones by more than this factor.
+/// Ratio of served requests to rejected or failed ones that a run has to exceed.
 const MIN_SERVED_PER_NOT_SERVED: usize = 50;
 
 /// A fleet of the maximum size.
@@ -38,7 +38,7 @@
     steps_clock: true,
 };
 
-/// Returns the seeds 1 to `SOAK_SEEDS`, or the default seeds if this variable is not a number.
+/// Returns the seeds 1 to `SOAK_SEEDS`, or the default seeds if this variable is not set to a number.
 fn seeds() -> Vec<u64> {
     let count = std::env::var("SOAK_SEEDS").ok().and_then(|count| count.parse().ok());
     count.map_or_else(|| DEFAULT_SEEDS.to_vec(), |count: u64| (1..=count).collect())
--- a/crates/proxy/tests/lifecycle.rs
+++ b/crates/proxy/tests/lifecycle.rs
@@ -35,7 +35,7 @@
 #[test]
 fn a_reload_moves_the_watch_to_the_new_address_of_discovery_and_keeps_connections_open() {
     let WatchingProxy {
-        upstream: first,
+        upstream: old_upstream,
         discovery: old_discovery,
         config,
         mut proxy,
@@ -43,9 +43,9 @@
         watch: old_watch,
         ..
     } = WatchingProxy::start_with(|config| config.discovery_mode(DiscoveryMode::Subscribe));
-    let second = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
+    let new_upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let new_discovery = StubDiscovery::start();
-    old_watch.send_line(&snapshot(7, &[endpoint("s-0", first.address, EndpointState::Ready)]));
+    old_watch.send_line(&snapshot(7, &[endpoint("s-0", old_upstream.address, EndpointState::Ready)]));
 
     proxy.reload("{");
     wait_until("the malformed configuration file is rejected", || {
@@ -55,8 +55,7 @@
     wait_until("the valid configuration file is read", || proxy.has_logged(log_text::CONFIGURATION_RELOADED));
     proxy.reload(&config.discovery(new_discovery.address).to_json());
 
-    // The old watch is kept alive, so that the call is caused by the reload and not by a timeout of the
-    // watch.
+    // The old watch is kept alive, so that only the reload can cause the call.
     let mut call = None;
     wait_until("the watch is started at the new address", || {
         // Fails once the proxy has ended the old watch.
@@ -73,11 +72,11 @@
     drop(old_watch);
     drop(old_discovery);
     assert_eq!(client.exchange(&at_most_once_request(5000, "x")).status(), 200);
-    assert_eq!(first.accepted_connections(), 1, "the connection to the upstream should stay open");
-    call.watch.send_line(&snapshot(8, &[endpoint("s-1", second.address, EndpointState::Ready)]));
+    assert_eq!(old_upstream.accepted_connections(), 1, "the connection to the upstream should stay open");
+    call.watch.send_line(&snapshot(8, &[endpoint("s-1", new_upstream.address, EndpointState::Ready)]));
     wait_until("the list of the new address takes effect", || {
         client.exchange(&at_most_once_request(5000, "x"));
-        !second.requests().is_empty()
+        !new_upstream.requests().is_empty()
     });
     assert!(new_discovery.try_next_call().is_none(), "the proxy should call the new address only once");
     assert!(proxy.is_running());
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -138,7 +138,8 @@
     }
 }
 
-/// Guards the rejection of a head that is too long for the read buffer of a connection.
+/// Guards against heads that are accepted or end the process because they do not fit into the read buffer of
+/// a connection.
 #[test]
 fn a_request_head_far_over_the_limit_is_rejected_while_it_arrives() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
--- a/crates/proxy/tests/shutdown_soak.rs
+++ b/crates/proxy/tests/shutdown_soak.rs
@@ -10,13 +10,13 @@
 
 /// Seeds to run if `SOAK_SEEDS` is not set to a number.
 const DEFAULT_SEEDS: [u64; 3] = [1, 2, 3];
-/// Number of runs at once.
+/// Number of runs that are carried out at once.
 const PARALLEL_RUNS: usize = 3;
 /// Minimum mean number of requests per run for the soak test to be meaningful. A single run may have fewer,
 /// since all its upstreams may be of the kind that never responds.
 const MIN_MEAN_REQUESTS: usize = 20;
 
-/// Returns the seeds 1 to `SOAK_SEEDS`, or the default seeds if this variable is not a number.
+/// Returns the seeds 1 to `SOAK_SEEDS`, or the default seeds if this variable is not set to a number.
 fn seeds() -> Vec<u64> {
     let count = std::env::var("SOAK_SEEDS").ok().and_then(|count| count.parse().ok());
     count.map_or_else(|| DEFAULT_SEEDS.to_vec(), |count: u64| (1..=count).collect())
@@ -27,7 +27,7 @@
     !report.lost.is_empty() || report.has_crashed
 }
 
-/// Runs a seed and prints its result.
+/// Runs the plan that is drawn from a seed, and prints the result.
 fn run_seed(seed: u64, directory: &Path) -> Report {
     let directory = directory.join(seed.to_string());
     std::fs::create_dir_all(&directory).expect("the directory of a run can be created");
--- a/crates/proxy/tests/wall_clock_steps.rs
+++ b/crates/proxy/tests/wall_clock_steps.rs
@@ -99,8 +99,8 @@
         .collect()
 }
 
-/// Guards against start times compared across clocks: slow start was skipped if the reporting clock was
-/// behind, and did not end if it was ahead.
+/// Guards against a slow start whose length depends on the agreement of the two clocks: it was skipped when
+/// the reporting clock was behind, and did not end when that clock was ahead.
 #[test]
 fn slow_start_after_a_restart_begins_and_ends_with_any_offset_of_the_wall_clock() {
     let cases: Vec<_> = CLOCK_OFFSETS_S
