--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -18,8 +18,9 @@
 /// File descriptors reserved for the standard streams, the poller, the listening socket and calls to
 /// discovery, of which about ten may overlap.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The largest number of file descriptors that the proxy uses: the default limit of Linux for one process
-/// (`fs.nr_open`). A larger number could exceed the maximum of the semaphores that limit connections.
+/// The largest number of file descriptors that the proxy uses. It is the default value of `fs.nr_open`, the
+/// most descriptors that Linux lets one process have. An arbitrary larger number could exceed the maximum of
+/// the semaphores that limit connections.
 const MAX_DESCRIPTORS: usize = 1 << 20;
 /// The fraction of the unreserved file descriptors that connections to upstreams may use. Client connections
 /// get the rest.
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -89,8 +89,8 @@
         self.version.get()
     }
 
-    /// Makes the next watch begin with the whole list, because changes to the one in use may have been
-    /// missed.
+    /// Discards the version of the endpoint list in use, because changes to that list may have been missed.
+    /// The next watch then begins with the whole list.
     pub(super) fn discard_version(&self) {
         self.version.set(0);
     }
@@ -160,10 +160,10 @@
 
     /// Directs later calls to `address`. The endpoint list in use and its version are kept.
     ///
-    /// Returns whether the caller has to start a new watch: the address differs from the previous one, and a
-    /// watch has been started before. [`DiscoveryClient::replace_watch_task`] then aborts the old watch
-    /// without an event, so that a planned change of the address does not count as a failure, and nothing
-    /// that the old address sends later overrides what the new one sends.
+    /// Returns whether the driver has to start a new watch: the address differs from the previous one, and a
+    /// watch has been started before. When the new watch starts, [`DiscoveryClient::replace_watch_task`]
+    /// aborts the old one without an event, so that a planned change of the address does not count as a
+    /// failure, and nothing that the old address sends later overrides what the new one sends.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         self.caller.set_address(address) && self.watch_task.borrow().is_some()
     }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -24,20 +24,21 @@
 /// An entry of an endpoint list: one upstream and what the list states about it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Hash of the uid alone. It is the same at every balancer and does not depend on the address.
+    /// Hash of the uid that discovery gives the upstream, and of nothing else. It is the same at every
+    /// balancer and does not depend on the address.
     pub id: UpstreamId,
-    /// Zone it runs in; [`UNKNOWN_ZONE`] if the entry states none, or one that the settings do not name.
+    /// Zone of the upstream; [`UNKNOWN_ZONE`] if the entry states none, or one that the settings do not name.
     pub zone: ZoneId,
-    /// Hardware model it runs on; [`UNKNOWN_HARDWARE`] if the entry states none, or one that the settings do
-    /// not name.
+    /// Hardware model of the upstream; [`UNKNOWN_HARDWARE`] if the entry states none, or one that the
+    /// settings do not name.
     pub hardware: HardwareId,
-    /// Cell it belongs to; 0 if the entry states none, [`UNKNOWN_CELL`] if the entry is unreadable.
+    /// Cell of the upstream; 0 if the entry states none, [`UNKNOWN_CELL`] if the entry is unreadable.
     pub cell: CellId,
     /// Weight that the entry states, to be read as
     /// [`Settings::weight_kind`](balancer_core::Settings::weight_kind) says; [`DEFAULT_WEIGHT`] if it states
     /// none.
     pub weight: f64,
-    /// Address, availability and start time of its process.
+    /// Address and availability of the upstream, and start time of its process.
     pub state: EndpointState,
 }
 
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -10,7 +10,7 @@
 /// The reason why a call to discovery or a watch failed.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// The connection to discovery was not established.
+    /// No connection to discovery was established.
     #[error("connection to discovery failed: {0}")]
     Connect(#[source] io::Error),
     /// The request could not be built.
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -9,9 +9,9 @@
 //!   delivered once the agent has it, whether or not a watch is open. After a SIGHUP that moves discovery to
 //!   another address, a change counts as delivered 4 s later.
 //! - Elsewhere, a change counts as delivered once discovery has written it to this balancer. A balancer that
-//!   has no watch and has not called for
-//!   [`Settings::poll_interval`](balancer_core::Settings::poll_interval) (longer after a failed call) is also
-//!   expected to know what was listed that long ago.
+//!   has no watch and has made no call within the last
+//!   [`Settings::poll_interval`](balancer_core::Settings::poll_interval) (or a longer time after a failed
+//!   call) is also expected to know the list as it was that long ago.
 //! - In both cases, a change counts as delivered at the latest 6 s after the watch that misses it fell
 //!   silent, and at the latest 6 s after discovery had the change and could be reached.
 
--- a/crates/proxy/src/discovery/transfer.rs
+++ b/crates/proxy/src/discovery/transfer.rs
@@ -37,7 +37,7 @@
         Self { began_at: now, last_bytes_at: now, received_bytes }
     }
 
-    /// Records that this many more bytes have just arrived.
+    /// Records that `bytes` more bytes have just arrived.
     pub(super) fn record(&mut self, bytes: usize) {
         self.last_bytes_at = Instant::now();
         self.received_bytes += bytes;
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -44,11 +44,11 @@
         let Some(response_sender) = &request.response_sender else { return };
         let mut interruption =
             Interruption::new(response_sender.abandonment(), self.abort_attempts.subscribe());
-        let sent_at = Instant::now();
+        let started_at = Instant::now();
         let index = request.next_attempt_index();
         let incoming = Rc::clone(&request.incoming);
         let deadline = timeout
-            .map_or(incoming.deadline, |timeout| earlier_deadline(incoming.deadline, sent_at, timeout));
+            .map_or(incoming.deadline, |timeout| earlier_deadline(incoming.deadline, started_at, timeout));
         let driver = Rc::clone(self);
         let task = spawn_local(async move {
             let outgoing = &incoming.outgoing;
@@ -59,7 +59,7 @@
         if index.0 > 0 {
             self.metrics.retries_and_hedges.inc();
         }
-        request.add_attempt(Attempt { upstream, sent_at, task: task.abort_handle(), is_in_flight: true });
+        request.add_attempt(Attempt { upstream, started_at, task: task.abort_handle(), is_in_flight: true });
     }
 
     /// Aborts the task of an attempt and queues the end of the attempt behind the events that have already
@@ -99,10 +99,10 @@
 
     fn check_health(self: &Rc<Self>, upstream: UpstreamId) {
         let driver = Rc::clone(self);
-        let sent_at = Instant::now();
+        let started_at = Instant::now();
         spawn_local(async move {
             let result = driver.upstreams.check_health(upstream).await;
-            let latency = sent_at.elapsed();
+            let latency = started_at.elapsed();
             driver.deliver(DriverEvent::HealthCheckEnded { upstream, latency, result });
         });
     }
--- a/crates/proxy/src/driver/endpoint_watch.rs
+++ b/crates/proxy/src/driver/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The tasks that watch the endpoint list for changes.
+//! Runs the task that watches the endpoint list for changes.
 
 use crate::discovery::backoff::Backoff;
 use crate::discovery::endpoint_list::EndpointUpdate;
@@ -10,8 +10,9 @@
 use tokio::time::{Instant, sleep};
 
 /// The shortest backoff after a watch that ended soon after it started, where the driver starts watches by
-/// itself. A drain may count as delivered (see [`discovery`](crate::discovery)) although the watch broke, and
-/// nothing new may be sent to the upstream 250 ms later. The next watch has to start well before that.
+/// itself. A change that drains an upstream may count as delivered (see [`discovery`](crate::discovery))
+/// although the watch broke, and from 250 ms later on, nothing new may be sent to that upstream. So the next
+/// watch has to start well before then.
 pub(super) const MIN_WATCH_BACKOFF: Duration = Duration::from_millis(20);
 /// The longest backoff between two watches. The backoff grows up to it so that calls cost little while
 /// discovery is down.
--- a/crates/proxy/src/driver/events.rs
+++ b/crates/proxy/src/driver/events.rs
@@ -93,12 +93,12 @@
         result: AttemptResult,
     ) {
         let Some(request) = state.requests.get_mut(id) else { return };
-        // An attempt that ended by itself just before it was cancelled has two such events in the queue. Only
-        // the first one counts.
+        // An attempt that ended by itself just before it was cancelled has two `AttemptEnded` events in the
+        // queue. Only the first one counts.
         let Some(attempt) = request.attempt_in_flight(index) else { return };
         attempt.is_in_flight = false;
         let upstream = attempt.upstream;
-        let latency = attempt.sent_at.elapsed();
+        let latency = attempt.started_at.elapsed();
         let outcome = result.outcome;
         tracing::debug!(
             id = id.0,
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -10,11 +10,12 @@
 
 /// One attempt of a request.
 pub(super) struct Attempt {
-    /// The upstream that it was sent to.
+    /// The upstream that the attempt is for.
     pub(super) upstream: UpstreamId,
-    /// When it was sent.
-    pub(super) sent_at: Instant,
-    /// The task that sends it and waits for the response.
+    /// When the attempt was started. Its latency and its timeout count from then, and so include the time to
+    /// obtain a connection.
+    pub(super) started_at: Instant,
+    /// The task that sends the request and waits for the response.
     pub(super) task: AbortHandle,
     /// `true` until the balancer has been notified of the attempt's end.
     pub(super) is_in_flight: bool,
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -121,8 +121,9 @@
         self.discovery.version()
     }
 
-    /// Sets the address of discovery. If the address is new and a watch was ever started, starts a watch at
-    /// the new address at once: changes would be missed if the balancer or the backoff delayed it.
+    /// Sets the address of discovery. If it differs from the previous one and a watch was ever started,
+    /// starts a watch at the new address at once: changes could be missed if the balancer or the backoff
+    /// delayed the watch.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.set_address(address) {
             self.watch_endpoints();
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -18,7 +18,8 @@
 pub const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-repeat");
 /// The client's estimate of the work that a request takes, in microseconds.
 pub const EXPECTED_WORK: HeaderName = HeaderName::from_static("x-weight-hint");
-/// The idempotency key, by which upstreams recognize and drop a repeated request.
+/// The idempotency key, by which upstreams recognize and drop a copy of a request, so that the request is
+/// safe to repeat.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Has the value 1 in a response if the request was rejected without being executed.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-unprocessed");
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -16,8 +16,8 @@
 const MIN_LAME_DUCK: Duration = Duration::from_millis(600);
 /// The longest lame duck phase.
 const MAX_LAME_DUCK: Duration = Duration::from_millis(1200);
-/// The fraction of the longest request deadline that the lame duck phase takes, between [`MIN_LAME_DUCK`] and
-/// [`MAX_LAME_DUCK`]. The rest is left for requests that arrive at the end of the phase.
+/// The fraction of the longest request deadline that the lame duck phase takes, limited by [`MIN_LAME_DUCK`]
+/// and [`MAX_LAME_DUCK`]. The rest is left for requests that arrive at the end of the phase.
 const LAME_DUCK_DEADLINE_FRACTION: f64 = 0.7;
 /// The longest deadline that the platform takes into account when it decides when to send SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The counters and gauges of one balancer, kept in a Prometheus registry. They are not exported; changed
-//! ones are logged at a fixed interval.
+//! The counters and gauges of the proxy, kept in a Prometheus registry. They are not exported; those that
+//! have changed are logged at a fixed interval.
 
 use balancer_core::{Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, text::encode};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time between two checks for changed metrics to log.
+/// Interval at which the metrics that have changed are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How a request ended.
@@ -88,7 +88,7 @@
     outcome: AttemptOutcome,
 }
 
-/// All metrics of one balancer.
+/// All metrics of the proxy.
 pub struct Metrics {
     registry: Registry,
     responses: Family<ResponseLabels, Counter>,
@@ -107,7 +107,7 @@
     /// Watches that discovery ended or that failed. A watch that is aborted because discovery has a new
     /// address does not count.
     pub watches_ended: Counter,
-    /// Endpoint lists and changes of them that were read from discovery.
+    /// Endpoint lists and changes to them that were read from discovery.
     pub endpoint_lists: Counter,
     /// Total size in bytes of the lists and changes that `endpoint_lists` counts.
     pub endpoint_list_bytes: Counter,
--- a/crates/proxy/src/rate_limited_log.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -16,8 +16,9 @@
 }
 
 impl RateLimitedLog {
-    /// Calls `log` to write the warning, and passes it the number of warnings suppressed since the last one.
-    /// If the interval has not passed, suppresses the warning and does not call `log`.
+    /// Calls `log` to write the warning, and passes it the number of warnings suppressed since the last one
+    /// that was logged. Suppresses the warning and does not call `log` if [`WARNING_INTERVAL`] has not passed
+    /// since then.
     pub fn warn(&self, log: impl FnOnce(u64)) {
         let now = Instant::now();
         if self.last_logged_at.get().is_some_and(|last| now - last < WARNING_INTERVAL) {
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -106,7 +106,7 @@
     Ok(RunningProxy { sigterm, driver, phase, accept_loop })
 }
 
-/// Logs the warnings about the settings that their author should know about.
+/// Logs the warnings that the author of the settings should know about.
 fn log_settings_warnings(site: &Site) {
     for warning in &site.warnings {
         tracing::warn!("settings: {warning}");
@@ -140,7 +140,8 @@
     Driver::start(balancer, upstreams, discovery, cached_endpoints, settings.starts_watches, metrics)
 }
 
-/// Returns a socket that is bound to the address but does not listen yet. Retries if binding fails.
+/// Returns a socket that is bound to the address but does not listen yet. If binding fails, retries until
+/// [`BIND_ATTEMPTS`] attempts have been made.
 async fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     for _ in 1..BIND_ATTEMPTS {
         match try_bind(address) {
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -157,8 +157,8 @@
     }
 }
 
-/// Returns the share of requests that may miss the latency objective, or `None` if the goal gives tail
-/// latency no positive weight.
+/// Returns the share of requests that may miss the latency objective, or `None` if the goal states no such
+/// share or gives tail latency no positive weight.
 fn tolerated_miss_ratio(goal: &GoalObject) -> Option<f64> {
     goal.tail_latency_weight.filter(|weight| *weight > 0.0).and(goal.tolerated_miss_ratio)
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -5,7 +5,8 @@
 /// The reason why a text cannot be parsed as a settings object.
 #[derive(Debug, Error)]
 pub enum SettingsParseError {
-    /// The text is not valid JSON, or a value has the wrong type. The message contains the path of the key.
+    /// The text is not valid JSON, or a value has the wrong type. The message contains the path of the key
+    /// where parsing failed, if there is one.
     #[error("settings: {0}")]
     Json(serde_path_to_error::Error<serde_json::Error>),
     /// The text continues after the end of the object.
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -15,7 +15,7 @@
 }
 
 /// The names of request classes, tenants, zones and hardware models. The position of a name in its list is
-/// the id that requests and endpoint lists use for it.
+/// the id by which `balancer_core` refers to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteNames {
     /// Names of the request classes, in the order of [`Settings::classes`]. A class without a name has an
--- a/crates/settings/src/wire_format.rs
+++ b/crates/settings/src/wire_format.rs
@@ -70,7 +70,7 @@
 }
 
 impl Default for ClassObject {
-    /// Returns the class that is converted to `RequestClass::default()`.
+    /// Returns the class that the module `conversion` turns into `RequestClass::default()`.
     fn default() -> Self {
         Self {
             latency_objective_ms: 1000.0,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -8,7 +8,8 @@
 /// The reason why the adapter ends before its input does.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// A batch is malformed, or refers to an instance or an endpoint list that does not exist.
+    /// A batch is malformed, refers to an instance or an endpoint list that does not exist, or starts an
+    /// instance with invalid settings.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// The input ended within a frame.
@@ -34,10 +35,10 @@
     pub problem: WireProblem,
 }
 
-/// The ways in which a batch can be malformed.
+/// The problems for which a batch is rejected.
 #[derive(Debug, Error)]
 pub enum WireProblem {
-    /// The length field is less than the size of the clock or more than the size limit of a frame.
+    /// The length field is less than the size of the clock or more than the size limit.
     #[error("length {0} is out of range")]
     LengthOutOfRange(usize),
     /// The length field differs from the number of bytes after it.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,9 @@
 //! `simulator-adapter` runs many [`balancer_core::Balancer`]s in one process and connects them to the
 //! simulator, whose wire format it reads from standard input and writes to standard output.
 //!
+//! An *instance* is one simulated balancer, which the simulator identifies by a number. The simulator sends
+//! batches of event records, and the adapter answers each batch with one reply of action records.
+//!
 //! The adapter only translates between the wire format and `balancer_core`, which makes all decisions.
 //! Malformed input ends the process with one line on standard error and exit code 1. The replies to earlier
 //! batches have been written by then; no part of the reply to the malformed batch is written.
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -37,7 +37,7 @@
     Start {
         /// The number of the instance.
         instance: u32,
-        /// The seed of the balancer's random generator.
+        /// The seed of the balancer's random number generator.
         seed: u64,
         /// The JSON text of the settings object.
         settings: String,
@@ -77,7 +77,7 @@
     RequestArrived {
         /// The request.
         id: RequestId,
-        /// Its class.
+        /// The class of the request.
         class: ClassId,
         /// The tenant that sent it.
         tenant: TenantId,
@@ -134,6 +134,7 @@
     pub outcome: Outcome,
     /// Time since the attempt or health check was sent.
     pub latency: Duration,
-    /// The values of the load report, in the order of the settings; empty if there was no report.
+    /// The values of the load report, in the order of `Settings::load_report_fields`; empty if there was no
+    /// report.
     pub load_report: Vec<f32>,
 }
