--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -43,7 +43,8 @@
     }
 
     /// Converts the start time of an upstream's process, which discovery states as Unix time in milliseconds,
-    /// into the balancer's form. A start time of 0 is unknown; one in the future has an age of zero.
+    /// into the balancer's form. A start time of 0 stands for a process that started long ago or for a time
+    /// that the list does not state; both are `Unknown`. A start time in the future has an age of zero.
     pub(super) fn process_start(self, started_at_unix_ms: u64) -> ProcessStart {
         if started_at_unix_ms == 0 {
             return ProcessStart::Unknown;
