--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -34,7 +34,7 @@
 pub struct AttemptResult {
     /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
-    /// The response to forward. Present only if the outcome is [`Outcome::Ok`].
+    /// The response. Present only if the outcome is [`Outcome::Ok`].
     pub response: Option<UpstreamResponse>,
     /// The values of the load report, in the order in which the settings list its fields. Empty if the
     /// response had no readable report.
@@ -58,12 +58,13 @@
 }
 
 impl Upstreams {
-    /// Sends a request to an upstream and waits for the response until `deadline`.
+    /// Sends a request to an upstream and waits for the response until `deadline`. `interruption` can abandon
+    /// or abort the attempt earlier.
     ///
-    /// If the upstream is unknown, or if the attempt is interrupted or the deadline passes before the whole
-    /// request is written, the attempt ends with [`Outcome::NotSent`]. Once the request is written, an
-    /// abandoned attempt still waits for the response, and an aborted attempt ends with
-    /// [`Outcome::TimedOut`].
+    /// The attempt ends with [`Outcome::NotSent`] if the upstream is unknown or no longer takes requests, or
+    /// if the attempt is interrupted or the deadline passes before the whole request is written. Once the
+    /// whole request is written, the attempt ends with [`Outcome::TimedOut`] at the deadline or when it is
+    /// aborted, and still waits for the response when it is abandoned.
     pub async fn attempt(
         &self,
         id: UpstreamId,
--- a/crates/proxy/src/upstream/checkout.rs
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -10,8 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Minimum fraction of the connect timeout that must be left for a connect. A connect that times out counts
-/// as a failure of the upstream only if it had at least this much time. The wait for a slot uses up the rest.
+/// Fraction of the connect timeout that a connect must have had for its timeout to count as a failure of the
+/// upstream. The wait for a slot may have taken the rest.
 const MIN_CONNECT_TIME_FRACTION: f64 = 0.8;
 
 /// A connection that one attempt uses.
@@ -44,7 +44,7 @@
             match timeout_at(connect_deadline, self.pool.acquire_slot(id)).await {
                 Ok(Some(slot)) => break slot,
                 Ok(None) => {}
-                // A lack of slots or of time in this process is no failure of the upstream.
+                // A lack of slots or of time in this process is not a failure of the upstream.
                 Err(_) => return Err(Outcome::NotSent),
             }
         };
@@ -87,8 +87,8 @@
     }
 }
 
-/// Returns whether a connect failed because this machine is short of a resource, which is no failure of the
-/// peer.
+/// Returns whether a connect failed because this machine is short of a resource, which is not a failure of
+/// the peer.
 fn is_local_resource_exhaustion(error: &io::Error) -> bool {
     // Compares error numbers because most of these errors have no `io::ErrorKind` of their own.
     use libc::{EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM};
--- a/crates/proxy/src/upstream/checkout/tests.rs
+++ b/crates/proxy/src/upstream/checkout/tests.rs
@@ -56,7 +56,7 @@
 
 /// A deadline beyond the range of the clock must not cause a panic.
 #[tokio::test(flavor = "local")]
-async fn the_longest_possible_connect_timeout_does_not_panic() {
+async fn an_attempt_with_the_longest_possible_connect_timeout_succeeds() {
     let fixture = Fixture::with_connect_timeout(1, Duration::MAX).await;
 
     let attempt = fixture.spawn_attempt(UPSTREAM);
@@ -95,9 +95,9 @@
     }
 }
 
-/// Makes an attempt to which the upstream sends two responses instead of one, and then another attempt. The
-/// first `bytes_sent_at_once` bytes of `responses` are sent together, and the rest right before the second
-/// attempt. Checks that the second attempt gets its own response on a new connection.
+/// Makes two attempts, and has the upstream send two responses to the first one. The first
+/// `bytes_sent_at_once` bytes of `responses` are sent together, and the rest right before the second attempt.
+/// Checks that the second attempt gets its own response on a new connection.
 async fn check_that_an_unrequested_response_is_ignored(
     fixture: &Fixture,
     bytes_sent_at_once: usize,
@@ -124,7 +124,7 @@
     let _ = old_stream.read(&mut [0; 1]).await;
 }
 
-/// If the connection were reused, a client would get the response to another request.
+/// If the connection were reused, a client would get the response to another client's request.
 #[tokio::test(flavor = "local")]
 async fn a_connection_with_an_unrequested_response_is_not_reused() {
     let fixture = Fixture::with_max_connections(8).await;
@@ -166,7 +166,7 @@
 
     let _only_slot = fixture.upstreams.pool.acquire_slot(UPSTREAM).await;
     let result = fixture.attempt_within(UPSTREAM, Duration::from_millis(50)).await;
-    assert_eq!(result.outcome, Outcome::NotSent, "a lack of slots is no failure of the upstream");
+    assert_eq!(result.outcome, Outcome::NotSent, "a lack of slots is not a failure of the upstream");
 }
 
 /// A listener whose accept queue is full, so that further connects to it neither succeed nor fail.
@@ -220,17 +220,17 @@
     let fixture = Fixture::with_max_connections(8).await;
     let address = fixture.listener.local_addr().unwrap();
 
-    let mut interrupted_connection = Connection::open(address, ()).await.unwrap();
+    let mut cancelled_connection = Connection::open(address, ()).await.unwrap();
     let (mut silent_peer, _) = fixture.listener.accept().await.unwrap();
     let request = post_request().to_http(LONG_TIMEOUT);
     let exchange = async {
         tokio::select! {
-            _ = interrupted_connection.send(request) => panic!("the peer does not respond"),
+            _ = cancelled_connection.send(request) => panic!("the peer does not respond"),
             () = read_request(&mut silent_peer) => {}
         }
     };
     exchange.await;
-    assert!(!timeout(MAX_WAIT, interrupted_connection.is_usable()).await.expect("is_usable does not wait"));
+    assert!(!timeout(MAX_WAIT, cancelled_connection.is_usable()).await.expect("is_usable does not wait"));
 
     let (result, _peer) = tokio::join!(fixture.attempt(UPSTREAM), fixture.accept_and_respond(EMPTY_RESPONSE));
     assert_eq!(result.outcome, Outcome::Ok);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,5 @@
-//! An outgoing HTTP/1.1 connection that counts the bytes accepted by the kernel.
+//! An outgoing HTTP/1.1 connection, to an upstream or to discovery, that counts the bytes accepted by the
+//! kernel.
 
 use crate::socket_io;
 use crate::upstream::counting_stream::CountingStream;
@@ -74,7 +75,7 @@
     }
 
     /// Sends a request and waits for the head of the response. Fails without writing anything if the peer has
-    /// closed the connection or has sent bytes before the request.
+    /// closed the connection or has sent bytes that belong to no request.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
         self.stale_check_due.set(true);
         self.sender.send_request(request).await
--- a/crates/proxy/src/upstream/connection/tests.rs
+++ b/crates/proxy/src/upstream/connection/tests.rs
@@ -20,8 +20,8 @@
     String::from_utf8(read).unwrap()
 }
 
-/// An attempt counts as not executed if fewer bytes than the length of its request were written. A wrong
-/// length would let requests be retried that the upstream may have executed.
+/// A request counts as not executed if fewer bytes than its length on the wire were written. If the computed
+/// length were too large, requests that the upstream may have executed would be retried.
 #[tokio::test(flavor = "local")]
 async fn wire_length_is_the_number_of_bytes_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/proxy/src/upstream/counting_stream.rs
+++ b/crates/proxy/src/upstream/counting_stream.rs
@@ -1,5 +1,5 @@
-//! The TCP stream of an outgoing connection. It counts the bytes written, and detects that the connection is
-//! stale before a request is written.
+//! The TCP stream of an outgoing connection. It counts the bytes written, and checks before each request
+//! whether the connection is stale.
 
 use crate::socket_io;
 use socket2::SockRef;
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -18,7 +18,7 @@
 /// The reason why an exchange produced no response that can be forwarded.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection was closed or reset before the response was complete.
+    /// The connection ended or failed before the response was complete.
     #[error("connection lost: {0}")]
     ConnectionLost(BoxError),
     /// The response cannot be parsed, or the received part of its body exceeds the maximum length.
@@ -64,7 +64,8 @@
             Self::MalformedResponse(_) | Self::ConflictingLengths | Self::BodyTooLong { .. } => {
                 Outcome::Error
             }
-            // The upstream responded correctly. This process cancels the attempt for lack of memory.
+            // The upstream responded correctly. This process cancels the attempt because its memory budget is
+            // exhausted.
             Self::BodyBudgetExhausted { .. } => Outcome::Cancelled,
         }
     }
--- a/crates/proxy/src/upstream/exchange/tests.rs
+++ b/crates/proxy/src/upstream/exchange/tests.rs
@@ -12,8 +12,8 @@
     result.outcome
 }
 
-/// An upstream that occasionally sends a malformed response is alive. The attempt must end at once, its
-/// outcome must not be a reset, and the connection must not be reused.
+/// An upstream that occasionally sends a malformed response is alive. The attempt must end at once with an
+/// error, not a reset, and the connection must not be reused.
 #[tokio::test(flavor = "local")]
 async fn a_malformed_response_is_an_error_and_not_a_reset() {
     let fixture = Fixture::with_max_connections(8).await;
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: requests that the balancer itself sends to an upstream. They also fetch the load report if
+//! Health checks: requests that the proxy itself sends to an upstream. They also fetch the load report if
 //! upstreams provide one.
 
 use crate::upstream::attempt::AttemptResult;
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Time limit of a health check, including the time to connect.
+/// Time limit of a health check, including the time to get a connection.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Path of a health check if upstreams report their load.
 const LOAD_REPORT_PATH: &str = "/stats";
--- a/crates/proxy/src/upstream/interruption.rs
+++ b/crates/proxy/src/upstream/interruption.rs
@@ -1,23 +1,24 @@
-//! The signals that end an attempt before its deadline.
+//! The signals that interrupt an attempt before its deadline. The attempt is abandoned when nobody waits for
+//! its response any more, and aborted when the process shuts down.
 
 use std::future::pending;
 use tokio::sync::watch;
 
-/// The reason why an attempt has to end early.
+/// The reason why an attempt is interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InterruptionCause {
-    /// Nobody waits for the response any more. If the request was sent completely, the attempt still waits
-    /// for the response, to learn its outcome.
+    /// Nobody waits for the response any more. The attempt ends unless its whole request is written, in which
+    /// case it still waits for the response, so that its outcome is known.
     Abandoned,
-    /// The process is shutting down. The attempt ends at once.
+    /// The process is shutting down. The attempt ends at once, even if its whole request is written.
     Aborted,
 }
 
-/// Tells an attempt when and why it has to end early.
+/// Tells an attempt when and why it is interrupted.
 pub struct Interruption {
     /// Closed once nobody waits for the response any more. No value is ever sent on it.
     abandonment: watch::Receiver<()>,
-    /// Set to `true` when all attempts have to end because the process is shutting down.
+    /// Set to `true` when all attempts are aborted because the process is shutting down.
     abort: watch::Receiver<bool>,
 }
 
@@ -28,7 +29,7 @@
         Self { abandonment, abort }
     }
 
-    /// Waits until the attempt has to end early, and returns the reason.
+    /// Waits until the attempt is interrupted, and returns the reason.
     pub async fn occurred(&mut self) -> InterruptionCause {
         tokio::select! {
             biased;
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -12,7 +12,7 @@
 /// Maximum length of the part of an unreadable report that is logged.
 const MAX_LOGGED_REPORT_BYTES: usize = 80;
 
-/// Reads the load reports of upstreams, with the fields that the settings list.
+/// Reads the load reports of upstreams. Takes from each report the fields that the settings list.
 pub struct LoadReportReader {
     reporting: LoadReporting,
     fields: Vec<LoadField>,
@@ -36,8 +36,8 @@
     }
 
     /// Removes the load report from the headers of a response and returns its values, one for each field of
-    /// the settings. Returns no values if there is no report, if the report is unreadable, or if upstreams do
-    /// not report with every response according to the settings.
+    /// the settings. Returns no values if there is no report, if the report is unreadable, or if the settings
+    /// do not state that upstreams report with every response.
     pub fn take_from_headers(&self, headers: &mut HeaderMap<HeaderValue>) -> Vec<f32> {
         match headers.remove(LOAD_REPORT) {
             Some(report) if self.reporting == LoadReporting::Inline => self.read(report.as_bytes()),
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval at which the pool closes idle connections that have expired.
+/// Interval at which the pool closes idle connections that have expired or are known to be closed.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A permit for one open connection. It is held until the file descriptor of the connection is closed.
@@ -75,8 +75,8 @@
     }
 
     /// Waits for a slot for a new connection to `upstream`. If no slot is free, closes the connection that
-    /// has been idle longest. Returns `None` if a connection to `upstream` became idle during the wait. The
-    /// caller can take that one instead.
+    /// has been idle longest, as soon as there is one. Returns `None` if a connection to `upstream` became
+    /// idle during the wait. The caller can take that one instead.
     pub async fn acquire_slot(&self, upstream: UpstreamId) -> Option<ConnectionSlot> {
         if self.slots.available_permits() == 0 && !self.close_longest_idle() {
             let max_connections = self.max_connections;
@@ -84,7 +84,7 @@
                 tracing::warn!(
                     skipped,
                     max_connections,
-                    "all upstream connections are in use, an attempt waits for one"
+                    "all upstream connections are in use; an attempt waits for one"
                 )
             });
         }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Closes idle connections that have expired, at a fixed interval. Never returns.
+    /// Closes idle connections that have expired or are known to be closed, at a fixed interval. Never
+    /// returns.
     pub async fn close_expired_periodically(&self) {
         loop {
             tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -16,14 +16,15 @@
     pub method: Method,
     /// The request target: path and query.
     pub target: Uri,
-    /// The end-to-end headers. Each attempt replaces `X-Time-Left-Ms` and sets `Content-Length`.
+    /// The end-to-end headers. Each attempt replaces `X-Time-Left-Ms`, and sets `Content-Length` unless the
+    /// request is a GET without a body.
     pub headers: HeaderMap,
     /// The complete body. Empty if the request has none.
     pub body: Bytes,
 }
 
 impl OutgoingRequest {
-    /// Returns the HTTP request of an attempt that waits for the response for `time_left`.
+    /// Returns the HTTP request of an attempt that waits for the response for at most `time_left`.
     pub(super) fn to_http(&self, time_left: Duration) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         headers.insert(TIME_LEFT, HeaderValue::from(time_left.as_millis() as u64));
--- a/crates/proxy/src/upstream/response_body.rs
+++ b/crates/proxy/src/upstream/response_body.rs
@@ -16,7 +16,8 @@
 pub const MAX_SMALL_BODY_BYTES: usize = 64 * 1024;
 
 /// A limit on the total size of all large response bodies in memory. A body counts against the budget from
-/// the time at which it is known to be large until the last reference to it is dropped.
+/// the time at which it is known to be longer than [`MAX_SMALL_BODY_BYTES`] until the last reference to it is
+/// dropped.
 #[derive(Clone)]
 pub struct LargeBodyBudget {
     /// Atomic only because `Bytes` requires an owner that is `Send`. All accesses are on a single thread.
@@ -93,7 +94,8 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(ExchangeError::from_body_error)?;
         let Ok(data) = frame.into_data() else { continue };
-        // A body without a stated length may grow to the maximum length, so all of it is reserved in advance.
+        // A body without a stated length may grow to the maximum length, which is therefore reserved before
+        // the rest of the body is received.
         if reservation.is_none() && received.len() + data.len() > MAX_SMALL_BODY_BYTES {
             reservation = Some(reserve(budget, MAX_RESPONSE_BODY_BYTES)?);
         }
--- a/crates/proxy/src/upstream/response_body/tests.rs
+++ b/crates/proxy/src/upstream/response_body/tests.rs
@@ -11,8 +11,8 @@
     format!("{length:x}\r\n{}\r\n", "y".repeat(length))
 }
 
-/// The budget is large enough for four of these bodies. Responses with and without `Content-Length`
-/// alternate.
+/// The budget is large enough for four of the ten bodies, so the next two are refused. Then all bodies are
+/// dropped. Responses with and without `Content-Length` alternate.
 #[tokio::test(flavor = "local")]
 async fn large_bodies_are_accepted_while_the_budget_lasts_and_release_their_bytes_when_dropped() {
     let fixture = Fixture::with_max_connections(8).await;
--- a/crates/proxy/src/upstream/set.rs
+++ b/crates/proxy/src/upstream/set.rs
@@ -120,7 +120,8 @@
         self.pool.close_idle(id);
     }
 
-    /// Closes idle connections that have expired, at a fixed interval. Never returns.
+    /// Closes idle connections that have expired or are known to be closed, at a fixed interval. Never
+    /// returns.
     pub async fn close_expired_periodically(&self) {
         self.pool.close_expired_periodically().await;
     }
--- a/crates/proxy/src/upstream/test_support.rs
+++ b/crates/proxy/src/upstream/test_support.rs
@@ -54,7 +54,7 @@
         Self { upstreams, listener, state }
     }
 
-    /// Adds an upstream with the same address and state.
+    /// Adds an upstream with the address and state of [`UPSTREAM`].
     pub fn add_upstream(&self, id: UpstreamId) {
         self.upstreams.apply_entry(id, &self.state);
     }
