--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -8,8 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Time in which a request has to be complete. It counts from the acceptance of the connection or, for later
-/// requests, from the first byte of the request.
+/// Time in which a request has to be complete. It counts from the first byte of the request or, until a valid
+/// request has been answered on the connection, from the acceptance of the connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// Added to [`READ_TIMEOUT`] once a head has arrived, so that the client gets the response 408 before the
 /// connection is closed.
@@ -52,14 +52,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     /// The connection was accepted, or its request began, more than [`STALL_THRESHOLD`] ago, and no complete
-    /// request has arrived since.
+    /// and valid request has arrived since.
     Stalled,
-    /// The connection has been idle for longer than [`LONG_IDLE_THRESHOLD`] since its last response.
+    /// Nothing has arrived since the last response, which was ready more than [`LONG_IDLE_THRESHOLD`] ago.
     LongIdle,
     /// The connection was accepted, or its request began, at most [`STALL_THRESHOLD`] ago, and no complete
-    /// request has arrived since.
+    /// and valid request has arrived since.
     Reading,
-    /// The connection has been idle for at most [`LONG_IDLE_THRESHOLD`] since its last response.
+    /// Nothing has arrived since the last response, which was ready at most [`LONG_IDLE_THRESHOLD`] ago.
     RecentlyIdle,
 }
 
@@ -68,12 +68,12 @@
 pub struct Client {
     state: Cell<ClientState>,
     /// Whether a valid request has been answered on this connection.
-    has_answered_valid_request: Cell<bool>,
+    has_completed_valid_request: Cell<bool>,
     /// When the last response was ready or, until the first valid request has been answered, when the
     /// connection was accepted.
     last_active_at: Cell<Instant>,
     /// When the first byte of the request that is being read arrived or, before any valid request, when the
-    /// connection was accepted. `None` if no request is being read, and in state [`ClientState::New`].
+    /// connection was accepted. `None` if no request is being read, and always in state [`ClientState::New`].
     request_started_at: Cell<Option<Instant>>,
     /// Whether the response to the last request is ready. It may not have been written yet.
     has_response: Cell<bool>,
@@ -82,11 +82,11 @@
 }
 
 impl Client {
-    /// Returns the state of a connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new() -> Self {
         Self {
             state: Cell::new(ClientState::New),
-            has_answered_valid_request: Cell::new(false),
+            has_completed_valid_request: Cell::new(false),
             last_active_at: Cell::new(Instant::now()),
             request_started_at: Cell::new(None),
             has_response: Cell::new(false),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the current state.
+    /// Returns the stage of request processing that the connection is in.
     pub fn state(&self) -> ClientState {
         self.state.get()
     }
@@ -126,14 +126,15 @@
     }
 
     /// Records that the response to the last request is ready to be written. A connection on which only
-    /// invalid requests have arrived remains new, and its timeout for the first valid one keeps running.
+    /// invalid requests have arrived returns to [`ClientState::New`], and its timeout for the first valid
+    /// request keeps running.
     pub fn on_response_ready(&self) {
         self.has_response.set(true);
         self.request_started_at.set(None);
         if self.state.get() == ClientState::AwaitingResponse {
-            self.has_answered_valid_request.set(true);
+            self.has_completed_valid_request.set(true);
         }
-        if self.has_answered_valid_request.get() {
+        if self.has_completed_valid_request.get() {
             self.state.set(ClientState::Idle);
             self.last_active_at.set(Instant::now());
         } else {
@@ -161,7 +162,8 @@
         self.eviction.notify_one();
     }
 
-    /// Returns the connection's eviction priority, or `None` if it must not be evicted or already is.
+    /// Returns the connection's eviction priority, or `None` if it must not be evicted or has already been
+    /// evicted.
     pub fn eviction_priority(&self, now: Instant) -> Option<EvictionPriority> {
         if self.is_evicted.get() {
             return None;
@@ -206,7 +208,7 @@
             if timeout_at.is_some_and(|timeout_at| timeout_at <= now) {
                 return;
             }
-            // A request may begin at any time and change the timeout, so each check computes it anew.
+            // A request may begin at any time and change the timeout, so it is computed again at each check.
             let next_check = now + TIMEOUT_CHECK_INTERVAL;
             let wake_at = match timeout_at {
                 Some(timeout_at) if self.state.get() == ClientState::New => timeout_at,
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -21,7 +21,7 @@
 /// Interval at which a connection is checked for a disconnect while no bytes are read ahead from it. It is
 /// short because attempts must stop within 0.1 s of a client's disconnect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// No more bytes are read ahead once this many are buffered. Equals the longest request body.
+/// No more bytes are read ahead once this many are buffered. Equals the maximum length of a request body.
 const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_BODY_BYTES;
 /// The most bytes that one call reads ahead.
 const READ_AHEAD_CHUNK_BYTES: usize = 4096;
@@ -48,16 +48,16 @@
     }
 
     /// Returns whether a head was received with both `Content-Length` and `Transfer-Encoding`. `headers` are
-    /// its headers from hyper, which removes `Content-Length` in this case. Has to be called once for each
-    /// head.
+    /// the headers of the head as hyper passes them on, which omits `Content-Length` in this case. Has to be
+    /// called once for each head.
     pub fn has_conflicting_lengths(&self, headers: &HeaderMap) -> bool {
         let visible_headers = headers.get_all(CONTENT_LENGTH).iter().count();
         let has_hidden_length = self.content_lengths.borrow_mut().has_hidden_header(visible_headers);
         has_hidden_length && headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Waits until the client disconnects while it awaits a response. hyper does not notice a disconnect if
-    /// unread bytes follow the request, so they are read ahead here.
+    /// Waits until the client disconnects while a request awaits its response. hyper does not notice a
+    /// disconnect if unread bytes follow the request, so they are read ahead here.
     pub async fn disconnected(&self) {
         let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -28,8 +28,8 @@
 /// How long a closing connection may take to write its last response. Checked every [`CLOSE_CHECK_INTERVAL`].
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Limit of a connection's read buffer. hyper responds with 431 to a head that does not fit, but a head may
-/// exceed the limit by up to one read.
+/// Maximum size of the read and write buffers of a connection. hyper responds with 431 to a head that does
+/// not fit, but a head may exceed the limit by up to one read.
 /// [`RequestValidator`](crate::downstream::request::RequestValidator) enforces the exact limit.
 const MAX_BUFFER_BYTES: usize = 2 * MAX_REQUEST_HEAD_BYTES;
 
@@ -126,9 +126,9 @@
     poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx))).await
 }
 
-/// Waits until a closing connection has ended, which it does after the response that it awaits or writes, and
-/// at once if it is between two requests. Does not wait for the rest of an incomplete request, and waits at
-/// most [`RESPONSE_WRITE_TIMEOUT`] until a response that is ready has been written.
+/// Waits until a closing connection has ended. It ends at once between two requests, and otherwise after the
+/// response that it awaits or writes. Returns earlier if only a part of a request has arrived, or if writing
+/// a response that is ready takes longer than [`RESPONSE_WRITE_TIMEOUT`].
 async fn wait_for_last_response(
     client: &Client,
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
@@ -142,7 +142,7 @@
             ClientState::AwaitingResponse => {}
             // The request is incomplete and can be dropped, because no part of it was forwarded.
             ClientState::New | ClientState::Reading if !client.has_response() => return Ok(()),
-            // The client reads the response slowly. After an invalid request its connection is still new.
+            // The client reads the response slowly. After an invalid first request the state is `New`.
             ClientState::New | ClientState::Reading | ClientState::Idle => {
                 if response_ready_at.get_or_insert_with(Instant::now).elapsed() > RESPONSE_WRITE_TIMEOUT {
                     return Ok(());
--- a/crates/proxy/src/downstream/content_length.rs
+++ b/crates/proxy/src/downstream/content_length.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The name of the header, in lower case.
+/// The name of the `Content-Length` header in lower case.
 const HEADER_NAME: &[u8] = b"content-length";
 
 /// The position of the next byte within its line.
@@ -11,8 +11,8 @@
 enum LinePosition {
     /// The line so far consists of the first `matched` bytes of the header's name.
     InName { matched: usize },
-    /// The rest of the line is skipped: its beginning either matched the whole name or differs from it.
-    AfterName,
+    /// The rest of the line is skipped, because its beginning is the whole name or differs from the name.
+    RestOfLine,
 }
 
 const LINE_START: LinePosition = LinePosition::InName { matched: 0 };
@@ -26,7 +26,7 @@
     position: LinePosition,
     /// Lines received that begin with the name.
     matching_lines: u64,
-    /// `Content-Length` headers in the heads from hyper.
+    /// `Content-Length` headers that hyper has passed on.
     visible_headers: u64,
 }
 
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Returns whether a `Content-Length` header was received that is not in the heads from hyper.
-    /// `visible_headers` is the number of these headers in the current head. Has to be called once for each
-    /// head.
+    /// Returns whether a `Content-Length` header was received that hyper has not passed on. `visible_headers`
+    /// is the number of `Content-Length` headers that hyper has passed on in the current head. Has to be
+    /// called once for each head.
     pub fn has_hidden_header(&mut self, visible_headers: usize) -> bool {
         self.visible_headers += visible_headers as u64;
         self.matching_lines > self.visible_headers
@@ -60,7 +60,7 @@
     fn continues_name(&self, byte: u8) -> bool {
         match self.position {
             LinePosition::InName { matched } => HEADER_NAME[matched] == byte.to_ascii_lowercase(),
-            LinePosition::AfterName => false,
+            LinePosition::RestOfLine => false,
         }
     }
 
@@ -69,7 +69,7 @@
         if matched + 1 < HEADER_NAME.len() {
             self.position = LinePosition::InName { matched: matched + 1 };
         } else {
-            self.position = LinePosition::AfterName;
+            self.position = LinePosition::RestOfLine;
             self.matching_lines += 1;
         }
     }
@@ -82,7 +82,7 @@
                 &bytes[end + 1..]
             }
             None => {
-                self.position = LinePosition::AfterName;
+                self.position = LinePosition::RestOfLine;
                 &[]
             }
         }
--- a/crates/proxy/src/downstream/handler.rs
+++ b/crates/proxy/src/downstream/handler.rs
@@ -43,8 +43,8 @@
 }
 
 impl RequestHandler {
-    /// Returns a handler that validates requests against the settings of `site` and submits them to
-    /// `driver`.
+    /// Returns a handler that validates requests against the settings of `site` and submits them to `driver`.
+    /// Its answers to health checks depend on `phase`.
     pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<LifecyclePhase>) -> Self {
         Self { driver, validator: RequestValidator::new(site), phase }
     }
@@ -103,6 +103,6 @@
             return Err(RequestError::ConflictingLengths);
         }
         let head = self.validator.validate_head(parts)?;
-        self.validator.validate_body(head, body, read_deadline).await
+        self.validator.read_and_validate_body(head, body, read_deadline).await
     }
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,5 @@
-//! Accepts client connections up to a limit, and evicts idle or stalled ones to make room for new ones.
+//! Accepts client connections up to a limit. At the limit, a connection that awaits no response is evicted to
+//! make room for a new one.
 
 use crate::downstream::client::Client;
 use crate::downstream::connection::serve_connection;
@@ -70,7 +71,9 @@
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    self.log.warn(|skipped| tracing::warn!(skipped, %error, "failed to accept a client"));
+                    self.log.warn(
+                        |skipped| tracing::warn!(skipped, %error, "failed to accept a client connection"),
+                    );
                     sleep(ACCEPT_ERROR_BACKOFF).await;
                     continue;
                 }
--- a/crates/proxy/src/downstream/listener/tests.rs
+++ b/crates/proxy/src/downstream/listener/tests.rs
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test(flavor = "local")]
-async fn a_request_is_not_forwarded_if_its_client_disconnected_before_it_had_a_slot() {
+async fn a_request_is_not_forwarded_if_its_client_disconnected_while_it_waited_for_a_slot() {
     let upstreams = [bind_upstream().await];
     let mut proxy = TestProxy::serving("book", "at_most_once", &upstreams);
     proxy.max_connections = 1;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -30,7 +30,8 @@
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
-/// Returns whether any time remains to process the requests of a class with this deadline.
+/// Returns whether requests of a class with this deadline can be served at all. They can if time remains
+/// after the allowance for their transfer.
 pub fn can_be_served(deadline: Duration) -> bool {
     deadline > TRANSFER_ALLOWANCE
 }
@@ -65,10 +66,10 @@
     /// The class deduplicates requests by `Idempotency-Key`, and that header is missing.
     #[error("no Idempotency-Key")]
     MissingIdempotencyKey,
-    /// `X-Account` is missing or does not name a tenant in the settings.
+    /// The settings list tenants, and `X-Account` is missing or names none of them.
     #[error("unknown account")]
     UnknownTenant,
-    /// `X-Time-Left-Ms` is missing or not a non-negative whole number.
+    /// `X-Time-Left-Ms` is missing or not an unsigned 64-bit integer, written in digits only.
     #[error("no readable X-Time-Left-Ms")]
     InvalidTimeLeft,
     /// `X-Weight-Hint` is not a finite number, or is negative.
@@ -223,7 +224,7 @@
         Ok(RequestHead {
             class: class.id,
             tenant: self.tenant(headers)?,
-            // The deadline of the class bounds a client's whole wait, including its retries.
+            // A client never waits longer than the deadline of the class, even with its own retries included.
             time_left: time_left(headers)?.min(class.deadline),
             expected_work_ms: expected_work_ms(headers)?,
             is_client_retry: headers.get(CLIENT_RETRY).is_some_and(|value| value.as_bytes() == b"1"),
@@ -234,7 +235,7 @@
 
     /// Reads the body, which has to be complete by `read_deadline`, validates it and reserves the request's
     /// correlation id.
-    pub async fn validate_body(
+    pub async fn read_and_validate_body(
         &self,
         head: RequestHead,
         body: Incoming,
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -23,7 +23,7 @@
     plain_text(error.status(), error.to_string())
 }
 
-/// Returns the response to a request that was submitted to the balancer.
+/// Returns the response to a request that was submitted to the driver.
 pub fn render_response(response: FinalResponse) -> ClientResponse {
     match response {
         FinalResponse::Served(served) => {
@@ -36,7 +36,8 @@
     }
 }
 
-/// Returns the response to a request that was not executed. `Retry-After` is in seconds with three decimals.
+/// Returns the response to a request that the client can safely send again. `Retry-After` is in seconds with
+/// three decimals.
 fn render_rejection(retry_after: Option<Duration>) -> ClientResponse {
     let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let seconds = retry_after.and_then(|delay| format!("{:.3}", delay.as_secs_f64()).parse().ok());
