--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Everything a change has to pass; see README.md. The limits of the files that decide are in crates/core/tests/source_layout.rs.
-# Tests that KNOWN-RED.txt lists are passed over and printed.
+# Runs all checks that a change has to pass; see README.md. The test crates/core/tests/source_layout.rs checks the size
+# limits of the policy files. Skips the tests that KNOWN-RED.txt lists, and prints their entries at the end.
 set -eu
 cd "$(dirname "$0")"
 cargo fmt --all --check
