--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -11,9 +11,10 @@
 }
 
 /// Each of a thousand balancers sees spare capacity for only a fraction of a request at a time. If that were
-/// rounded down to zero, its tenants would never get a token.
+/// rounded down to zero, the tenants would get no tokens from the spare capacity. Each tenant here sends more
+/// than this balancer's part of its quota.
 #[test]
-fn one_of_a_thousand_balancers_admits_all_requests_of_tenants_within_quota() {
+fn one_of_a_thousand_balancers_rejects_no_request_while_there_is_spare_capacity() {
     let settings = settings(1000, &[600.0, 500.0, 400.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(60));
     harness.advance(ms(100));
--- a/crates/core/tests/cancellation.rs
+++ b/crates/core/tests/cancellation.rs
@@ -18,9 +18,9 @@
 }
 
 /// Cancelling an attempt wastes the work done so far, and a retry repeats that work. Without hedging, a slow
-/// attempt therefore continues while its upstream serves other requests, and is cancelled once the upstream
-/// is unresponsive. It counts as unresponsive only some time after the attempt is overdue, because with few
-/// requests it may have had no other request to respond to.
+/// attempt therefore continues while its upstream serves other requests. It is cancelled in favour of a retry
+/// only if the upstream is unresponsive and the attempt is long overdue. Being merely overdue is not enough,
+/// because with few requests the upstream may have had no other request to respond to.
 #[test]
 fn a_slow_attempt_is_cancelled_and_retried_only_if_its_upstream_is_unresponsive() {
     for is_unresponsive in [false, true] {
@@ -105,7 +105,7 @@
 /// requests to show that it responds. Unless cancelled attempts counted as slow ones, nearly all attempts
 /// would be cancelled although they would have been served.
 #[test]
-fn cancelled_attempts_raise_the_typical_latency_so_that_few_are_cancelled() {
+fn cancelled_attempts_raise_the_latency_quantile_so_that_few_are_cancelled() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
 
     let mut cancelled_attempts = 0;
@@ -130,7 +130,7 @@
 }
 
 /// If every attempt is cancelled, the cancelled attempts are the only sign that responses take long. They
-/// must raise the typical latency, so that later attempts are cancelled later.
+/// must raise the estimated latency quantile, so that later attempts are cancelled later.
 #[test]
 fn attempts_are_cancelled_later_after_all_earlier_ones_were_cancelled() {
     const EARLIEST_CANCELLATION_MS: u64 = 240;
@@ -160,12 +160,12 @@
         (EARLIEST_CANCELLATION_MS..EARLIEST_CANCELLATION_MS + 50).contains(&first_ms),
         "{cancelled_after_ms:?}"
     );
-    assert!(last_ms > first_ms + 50, "the typical latency did not rise: {cancelled_after_ms:?}");
+    assert!(last_ms > first_ms + 50, "the latency quantile did not rise: {cancelled_after_ms:?}");
 }
 
-/// Work for a response that no longer has any value serves nobody. Such an attempt is cancelled at the
-/// latency objective if its upstream is unresponsive, and continues if the upstream serves other requests. An
-/// attempt whose late response still has some value is not cancelled.
+/// Work for a response that no longer has any value serves nobody. At the latency objective, an attempt whose
+/// late response has no value is cancelled if its upstream is unresponsive, and continues if the upstream
+/// serves other requests. An attempt whose late response still has some value is not cancelled.
 #[test]
 fn an_attempt_at_an_unresponsive_upstream_is_cancelled_once_its_response_is_worth_nothing() {
     for (late_priority_weight, is_unresponsive) in [(0.0, true), (0.0, false), (0.5, true)] {
@@ -225,7 +225,8 @@
 }
 
 /// If nearly all responses take as long as the latency objective, the response of an attempt becomes useless
-/// before the attempt counts as long overdue. The attempt must be cancelled without waiting for the latter.
+/// before the attempt counts as long overdue. At an unresponsive upstream, the attempt must be cancelled as
+/// soon as its response is useless.
 #[test]
 fn an_attempt_whose_response_is_useless_is_cancelled_before_it_is_long_overdue() {
     const OBJECTIVE_MS: u64 = 10_000;
@@ -308,6 +309,6 @@
     let sent = harness.attempts_sent_to(RETURNING_UPSTREAM) - sent_before;
     assert!(
         sent > 30,
-        "only {sent} of 100 requests went to the returned upstream after three latency objectives"
+        "only {sent} of 100 requests went to the returned upstream after three times the latency objective"
     );
 }
--- a/crates/core/tests/capacity/capacity_loss.rs
+++ b/crates/core/tests/capacity/capacity_loss.rs
@@ -17,7 +17,7 @@
 pub const SERVICE_TIME_AFTER_LOSS: Duration = Duration::from_millis(5);
 /// Time that the upstreams together take to serve one request before the loss of capacity.
 const SERVICE_TIME_BEFORE_LOSS: Duration = Duration::from_micros(500);
-/// Interval between the requests to all balancers together.
+/// Time between two requests, counted over all balancers.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(1250);
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Latency of an attempt in addition to its time in the queue and in service.
--- a/crates/core/tests/capacity/main.rs
+++ b/crates/core/tests/capacity/main.rs
@@ -34,7 +34,7 @@
 
 /// Sends requests one after another. All attempts of a request end with this outcome, `latency` after the
 /// request was sent. Returns how many requests were served.
-fn play_requests_with_latency(
+fn simulate_requests_with_latency(
     harness: &mut BalancerHarness,
     request_count: usize,
     outcome: Outcome,
@@ -61,11 +61,11 @@
 fn a_balancer_that_rejected_all_requests_recovers() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).balancers(500).quotas(&[1000.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(40));
-    play_requests_with_latency(&mut harness, 50, Outcome::Ok, ms(50));
-    play_requests_with_latency(&mut harness, 60, Outcome::TimedOut, ms(990));
-    play_requests_with_latency(&mut harness, 100, Outcome::Ok, ms(50));
+    simulate_requests_with_latency(&mut harness, 50, Outcome::Ok, ms(50));
+    simulate_requests_with_latency(&mut harness, 60, Outcome::TimedOut, ms(990));
+    simulate_requests_with_latency(&mut harness, 100, Outcome::Ok, ms(50));
 
-    let served = play_requests_with_latency(&mut harness, 50, Outcome::Ok, ms(50));
+    let served = simulate_requests_with_latency(&mut harness, 50, Outcome::Ok, ms(50));
 
     assert!(served >= 40, "only {served} of 50 requests were served long after the overload");
 }
--- a/crates/core/tests/common/builders.rs
+++ b/crates/core/tests/common/builders.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Returns a ready endpoint of weight 1 without a process start. It is in slow start only if it first appears
-/// after the balancer's start.
+/// Returns a ready endpoint of weight 1 whose process start is unknown. It is in slow start only if it is
+/// added to a balancer that already knows other upstreams.
 pub fn endpoint(id: u64) -> EndpointEntry {
     EndpointBuilder::new(id).build()
 }
@@ -73,7 +73,7 @@
         self
     }
 
-    /// Sets the time on the balancer's clock at which the endpoint's process started; `None` if it is
+    /// Sets the time on the embedder's clock at which the endpoint's process started; `None` if it is
     /// unknown. Slow start begins at that time.
     pub fn started_at(mut self, started_at: impl Into<Option<Duration>>) -> Self {
         self.entry.process_start = started_at.into().map_or(ProcessStart::Unknown, ProcessStart::At);
--- a/crates/core/tests/common/harness.rs
+++ b/crates/core/tests/common/harness.rs
@@ -8,7 +8,7 @@
 /// Seed of a balancer whose test needs no particular one.
 const DEFAULT_SEED: u64 = 7;
 
-/// Final response to a request. Each request gets exactly one.
+/// Final response to a request. A request gets at most one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// An upstream served the request.
--- a/crates/core/tests/endpoint_updates.rs
+++ b/crates/core/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Tests of updates of the endpoint list and of the polls for it.
+//! Tests of updates of the endpoint list and of the calls to discovery.
 
 mod common;
 use balancer_core::*;
@@ -42,50 +42,50 @@
     assert!(harness.attempts_sent_to(UpstreamId(1)) > 0);
 }
 
-/// A discovery service that is down must not be flooded with polls. The known endpoints most likely still
+/// A discovery service that is down must not be flooded with calls. The known endpoints most likely still
 /// exist, so they stay in use.
 #[test]
-fn failed_polls_are_repeated_with_backoff_and_the_known_endpoint_list_stays_in_use() {
+fn failed_calls_to_discovery_are_repeated_with_backoff_and_the_known_endpoint_list_stays_in_use() {
     let mut harness = BalancerHarness::new(settings().starts_watches(true).build(), &endpoints(2));
 
     for _ in 0..6000 {
-        let polls_before = harness.discovery_calls.len();
+        let calls_before = harness.discovery_calls.len();
         harness.advance(ms(10));
-        if harness.discovery_calls.len() > polls_before {
+        if harness.discovery_calls.len() > calls_before {
             harness.update_endpoints(UpdateScope::Failed, &[]);
         }
     }
 
-    let polls = harness.discovery_calls.len();
-    assert!((5..=30).contains(&polls), "discovery got {polls} polls in a minute");
+    let calls = harness.discovery_calls.len();
+    assert!((5..=30).contains(&calls), "discovery got {calls} calls in a minute");
     let id = harness.send_request(0, 0, ms(1000));
     assert!(harness.is_forwarded(id));
 }
 
-/// A balancer counts as notified of a change 6 s after discovery has the change and can be reached. A poll
-/// that fails late, the backoff after it and the next poll must take less time together, however many polls
-/// have failed before and however long the poll interval is.
+/// A balancer counts as notified of a change 6 s after discovery has the change and can be reached. A call to
+/// discovery that fails late, the backoff after it and the next call must together take less than these 6 s,
+/// however many calls have failed before and however long the poll interval is.
 #[test]
-fn polls_are_close_enough_to_notice_a_change_in_time_after_discovery_has_recovered() {
+fn calls_to_discovery_are_close_enough_to_notice_a_change_in_time_after_discovery_has_recovered() {
     for poll_interval_ms in [2_000, 10_000, 60_000] {
         let poll_interval = ms(poll_interval_ms);
         let settings = settings().starts_watches(true).poll_interval(poll_interval).build();
         let mut harness = BalancerHarness::new(settings, &endpoints(2));
 
-        let mut last_poll_at = harness.now;
-        for poll in 0..40 {
-            while harness.discovery_calls.len() == poll {
+        let mut last_call_at = harness.now;
+        for call in 0..40 {
+            while harness.discovery_calls.len() == call {
                 harness.advance(ms(10));
-                let elapsed = harness.now - last_poll_at;
+                let elapsed = harness.now - last_call_at;
                 assert!(
                     elapsed < ms(5_700),
-                    "poll {poll} with interval {poll_interval:?} is late: {elapsed:?} since the last one"
+                    "call {call} with poll interval {poll_interval:?} is late: {elapsed:?} since the last one"
                 );
             }
-            last_poll_at = harness.now;
-            // Every other poll fails at once. The rest fail late, because nothing follows the response
+            last_call_at = harness.now;
+            // Every other call fails at once. The rest fail late, because nothing follows the response
             // header.
-            let fails_after = ms(if poll % 2 == 0 { 2_500 } else { 1 });
+            let fails_after = ms(if call % 2 == 0 { 2_500 } else { 1 });
             harness.advance(fails_after);
             harness.update_endpoints(UpdateScope::Failed, &[]);
         }
--- a/crates/core/tests/golden/scenario.rs
+++ b/crates/core/tests/golden/scenario.rs
@@ -11,7 +11,8 @@
     pub upstreams: u64,
     /// Mean time between two requests outside of bursts.
     pub mean_request_interval: Duration,
-    /// Probability, in percent, that an upstream whose condition changes becomes unreachable.
+    /// Probability, in percent, that an upstream whose condition changes becomes unreachable, in addition to
+    /// the small probability that applies in every scenario.
     pub unreachable_percent: u64,
 }
 
@@ -20,7 +21,7 @@
     vec![
         scenario("small fleet", 6, 4000, Settings { balancers: 1, index: 0, ..base_settings() }),
         scenario("large fleet", 300, 4000, large_fleet()),
-        scenario("polled endpoint list", 40, 4000, polled_endpoint_list()),
+        scenario("watches started by balancer", 40, 4000, watches_started_by_balancer()),
         scenario("live weights", 30, 2000, live_weights()),
         scenario("no cancellation", 20, 4000, no_cancellation()),
         scenario("sparse traffic", 60, 30_000, Settings { balancers: 24, index: 17, ..base_settings() }),
@@ -48,7 +49,7 @@
     }
 }
 
-fn polled_endpoint_list() -> Settings {
+fn watches_started_by_balancer() -> Settings {
     Settings {
         starts_watches: true,
         poll_interval: Duration::from_secs(3),
--- a/crates/core/tests/golden/simulation.rs
+++ b/crates/core/tests/golden/simulation.rs
@@ -37,7 +37,7 @@
 enum ScheduledEvent {
     RequestArrives,
     UpstreamsChange,
-    PollResponseArrives,
+    DiscoveryResponseArrives,
     TimerFires(TimerId),
     AttemptEnds { id: RequestId, attempt: u8, outcome: Outcome },
     StreamStarts { id: RequestId, attempt: u8 },
@@ -196,7 +196,7 @@
             }
             Action::WatchEndpoints => {
                 self.count_occurrence("watch");
-                self.schedule(Duration::from_millis(30), ScheduledEvent::PollResponseArrives);
+                self.schedule(Duration::from_millis(30), ScheduledEvent::DiscoveryResponseArrives);
             }
             Action::FetchEndpoints | Action::Log { .. } => {}
         }
@@ -246,7 +246,7 @@
         match self.scheduled.remove(&sequence_number).expect("each event is scheduled once") {
             ScheduledEvent::RequestArrives => self.deliver_request(),
             ScheduledEvent::UpstreamsChange => self.change_upstreams(),
-            ScheduledEvent::PollResponseArrives => self.deliver_poll_response(),
+            ScheduledEvent::DiscoveryResponseArrives => self.deliver_discovery_response(),
             ScheduledEvent::TimerFires(timer) => self.deliver(Event::TimerFired { timer }),
             ScheduledEvent::AttemptEnds { id, attempt, outcome } => self.end_attempt(id, attempt, outcome),
             ScheduledEvent::StreamStarts { id, attempt } => {
@@ -360,7 +360,7 @@
     fn change_upstreams(&mut self) {
         match self.random.below(12) {
             0 => self.deliver(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] }),
-            1 => self.deliver_poll_response(),
+            1 => self.deliver_discovery_response(),
             2 => {
                 // The snapshot no longer contains the removed upstream, but a new one.
                 if let Some(removed) = self.random_upstream() {
@@ -383,8 +383,8 @@
         self.schedule(interval, ScheduledEvent::UpstreamsChange);
     }
 
-    /// Delivers the response to a poll of discovery, which is a snapshot of the endpoint list or a failure.
-    fn deliver_poll_response(&mut self) {
+    /// Delivers a response from discovery, which is a snapshot of the endpoint list or a failure.
+    fn deliver_discovery_response(&mut self) {
         if self.random.bool_with_percent(30) {
             self.deliver(Event::EndpointUpdate { scope: UpdateScope::Failed, entries: &[] });
             return;
@@ -430,7 +430,7 @@
         percent > 0 && self.random.bool_with_percent(percent)
     }
 
-    /// Changes the condition of about one in twelve upstreams.
+    /// Changes the condition of about one in twelve upstreams, but of at least one.
     fn change_conditions(&mut self) {
         let change_count = 1 + self.upstreams.len() / 12;
         for _ in 0..change_count {
--- a/crates/core/tests/hedging.rs
+++ b/crates/core/tests/hedging.rs
@@ -42,5 +42,5 @@
     }
 
     assert!(forwarded > 10, "only {forwarded} requests were forwarded");
-    assert_eq!(hedged, 0, "hedged requests were sent for {forwarded} forwarded requests");
+    assert_eq!(hedged, 0, "some of {forwarded} forwarded requests were hedged");
 }
--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -59,7 +59,7 @@
 
 /// Values that are far out of range or not finite must not corrupt the state of the upstreams.
 #[test]
-fn malformed_load_reports_and_weights_are_ignored() {
+fn upstreams_still_get_requests_after_malformed_load_reports_and_weights() {
     let settings =
         settings().load_reports(LoadReporting::Inline, &[LoadField::Utilization, LoadField::Queue]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(2));
--- a/crates/core/tests/load_reports.rs
+++ b/crates/core/tests/load_reports.rs
@@ -74,7 +74,7 @@
 
     assert!(
         admitted < 1000,
-        "{admitted} requests were admitted in the seven seconds after the first, with 140 within quota"
+        "{admitted} requests were admitted in the seven seconds after the first second, with 140 within quota"
     );
 }
 
--- a/crates/core/tests/outlier_detection.rs
+++ b/crates/core/tests/outlier_detection.rs
@@ -1,5 +1,5 @@
 //! Tests of outlier detection. An upstream that fails, times out or rejects requests is ejected, but only for
-//! the affected class if it serves others. It returns once it has recovered.
+//! the affected class if it serves other classes. An ejected upstream returns once it has recovered.
 
 mod common;
 use balancer_core::*;
@@ -91,7 +91,7 @@
     TimesOut,
 }
 
-/// Numbers of requests of each class that went to the affected upstream.
+/// Number of attempts of each class at the affected upstream.
 #[derive(Default)]
 struct AttemptsByClass {
     first_class: usize,
@@ -99,8 +99,8 @@
 }
 
 /// Sends about `requests_per_class` requests of each of two classes. The affected upstream handles the first
-/// class as stated; all other requests are served. Returns how many requests went to the affected upstream.
-fn play_two_classes(
+/// class as stated; all other requests are served. Returns the number of attempts at the affected upstream.
+fn simulate_two_classes(
     harness: &mut BalancerHarness,
     requests_per_class: u64,
     affected_upstream: UpstreamId,
@@ -135,21 +135,21 @@
 fn timeouts_of_one_class_eject_the_upstream_for_that_class_alone() {
     let mut harness = BalancerHarness::new(settings_of_two_classes(), &endpoints(4));
     let affected = UpstreamId(3);
-    play_two_classes(&mut harness, 50, affected, FirstClassHandling::Served);
+    simulate_two_classes(&mut harness, 50, affected, FirstClassHandling::Served);
 
-    let while_ejected = play_two_classes(&mut harness, 400, affected, FirstClassHandling::TimesOut);
+    let while_timing_out = simulate_two_classes(&mut harness, 400, affected, FirstClassHandling::TimesOut);
     assert!(
-        while_ejected.first_class <= 20,
+        while_timing_out.first_class <= 20,
         "{} of 400 requests of the first class went to the affected upstream",
-        while_ejected.first_class
+        while_timing_out.first_class
     );
     assert!(
-        while_ejected.second_class >= 100,
+        while_timing_out.second_class >= 100,
         "only {} of 400 requests of the second class went to the affected upstream",
-        while_ejected.second_class
+        while_timing_out.second_class
     );
 
-    let after_recovery = play_two_classes(&mut harness, 600, affected, FirstClassHandling::Served);
+    let after_recovery = simulate_two_classes(&mut harness, 600, affected, FirstClassHandling::Served);
     assert!(
         after_recovery.first_class >= 60,
         "only {} of 600 requests of the first class went to the upstream after its recovery",
--- a/crates/core/tests/slow_start/fleet.rs
+++ b/crates/core/tests/slow_start/fleet.rs
@@ -18,7 +18,7 @@
 /// Latency of the warm upstreams after the start of the new one in
 /// [`Disturbance::RestartsWithSlowUpstreams`].
 const SLOW_LATENCY: Duration = Duration::from_millis(250);
-/// Time between the restarts of two groups of balancers.
+/// Time between the restarts of two successive groups of balancers.
 const RESTART_INTERVAL: Duration = Duration::from_millis(1000);
 /// Number of groups of balancers; one group is restarted at a time.
 const RESTART_GROUPS: u32 = 10;
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -79,18 +79,19 @@
 
         assert!(
             with_twice_the_capacity > 1.3 * without_reports,
-            "{balancers} balancers: {with_twice_the_capacity} requests, {without_reports} without reports"
+            "{balancers} balancers: {with_twice_the_capacity} requests with twice the stated capacity, \
+             {without_reports} without reports"
         );
         assert!(
             with_twice_the_capacity > with_stated_capacity,
-            "{balancers} balancers: {with_twice_the_capacity} requests, \
+            "{balancers} balancers: {with_twice_the_capacity} requests with twice the stated capacity, \
              {with_stated_capacity} with the stated capacity"
         );
     }
 }
 
 /// A balancer that has seen few responses admits few requests. Upstreams in slow start would then get few
-/// turns and return few responses. The expected load that follows from the quotas breaks this feedback loop.
+/// turns and return few responses. The expected rate that follows from the quotas breaks this feedback loop.
 #[test]
 fn upstreams_in_slow_start_get_requests_again_after_a_long_time_without_served_attempts() {
     let settings = SettingsBuilder::new(RetrySafety::AtMostOnce)
--- a/crates/core/tests/slow_start/wall_clock.rs
+++ b/crates/core/tests/slow_start/wall_clock.rs
@@ -48,12 +48,12 @@
 fn balancer_with_traffic() -> BalancerHarness {
     let mut harness = BalancerHarness::new(settings().build(), &old_endpoints());
     harness.update_endpoints(UpdateScope::Snapshot, &old_endpoints());
-    play(&mut harness, Duration::from_secs(3));
+    simulate_traffic(&mut harness, Duration::from_secs(3));
     harness
 }
 
 /// Sends requests for this duration. Each request is served after a few others were sent.
-fn play(harness: &mut BalancerHarness, duration: Duration) {
+fn simulate_traffic(harness: &mut BalancerHarness, duration: Duration) {
     let requests = duration.as_millis() / REQUEST_INTERVAL.as_millis();
     let mut in_flight = VecDeque::new();
     for _ in 0..requests {
@@ -79,7 +79,7 @@
     const WINDOW: Duration = Duration::from_secs(2);
     let attempts_before = harness.total_attempts();
     let sent_before = harness.attempts_sent_to(RESTARTED_UPSTREAM);
-    play(harness, WINDOW);
+    simulate_traffic(harness, WINDOW);
     let attempts = harness.total_attempts() - attempts_before;
     let sent = harness.attempts_sent_to(RESTARTED_UPSTREAM) - sent_before;
     sent as f64 * UPSTREAMS as f64 / attempts as f64
@@ -89,7 +89,10 @@
 fn assert_slow_start_runs_from_now(harness: &mut BalancerHarness, case: &str) {
     let shares: Vec<f64> = (0..5).map(|_| relative_share(harness)).collect();
     assert!(shares[0] < 0.6, "{case}: slow start does not begin with a low share, {shares:.2?}");
-    assert!(shares[1] > shares[0] && shares[1] < 0.95, "{case}: slow start does not progress, {shares:.2?}");
+    assert!(
+        shares[1] > shares[0] && shares[1] < 0.95,
+        "{case}: slow start does not progress or ends too early, {shares:.2?}"
+    );
     assert!(shares[4] > 0.9, "{case}: slow start does not end, {shares:.2?}");
 }
 
@@ -114,7 +117,7 @@
         harness
             .update_endpoints(UpdateScope::Delta, &[new_process_entry(1, NEW_INCARNATION, Duration::ZERO)]);
         for _ in 0..8 {
-            play(&mut harness, Duration::from_secs(1));
+            simulate_traffic(&mut harness, Duration::from_secs(1));
             harness.update_endpoints(UpdateScope::Delta, &[new_process_entry(1, NEW_INCARNATION, age)]);
         }
 
@@ -129,7 +132,7 @@
     for age in STATED_AGES {
         let mut harness = balancer_with_traffic();
         harness.update_endpoints(UpdateScope::Delta, &[new_process_entry(1, NEW_INCARNATION, age)]);
-        play(&mut harness, SLOW_START_DURATION / 2);
+        simulate_traffic(&mut harness, SLOW_START_DURATION / 2);
 
         harness.update_endpoints(UpdateScope::Delta, &[new_process_entry(1, NEW_INCARNATION + 3000, age)]);
 
@@ -143,7 +146,7 @@
         let others: Vec<_> = (2..=UPSTREAMS).map(old_process_entry).collect();
         let mut harness = BalancerHarness::new(settings().build(), &others);
         harness.update_endpoints(UpdateScope::Snapshot, &others);
-        play(&mut harness, Duration::from_secs(3));
+        simulate_traffic(&mut harness, Duration::from_secs(3));
 
         harness.update_endpoints(UpdateScope::Delta, &[new_process_entry(1, NEW_INCARNATION, age)]);
 
@@ -163,7 +166,7 @@
 fn a_removed_upstream_that_is_listed_again_with_the_same_start_stays_warm() {
     let mut harness = balancer_with_traffic();
     remove_upstreams_1_and_2(&mut harness);
-    play(&mut harness, Duration::from_secs(3));
+    simulate_traffic(&mut harness, Duration::from_secs(3));
 
     harness.update_endpoints(UpdateScope::Delta, &[old_process_entry(1)]);
 
@@ -175,7 +178,7 @@
 fn a_removed_upstream_that_is_listed_again_with_another_start_begins_slow_start() {
     let mut harness = balancer_with_traffic();
     remove_upstreams_1_and_2(&mut harness);
-    play(&mut harness, Duration::from_secs(3));
+    simulate_traffic(&mut harness, Duration::from_secs(3));
 
     harness.update_endpoints(UpdateScope::Delta, &[new_process_entry(1, NEW_INCARNATION, STATED_AGES[4])]);
 
@@ -208,7 +211,7 @@
     let entry = restarted(harness.now);
     harness.update_endpoints(UpdateScope::Delta, &[entry]);
 
-    play(&mut harness, Duration::from_secs(1));
+    simulate_traffic(&mut harness, Duration::from_secs(1));
     assert!(
         harness.attempts_sent_to(RESTARTED_UPSTREAM) > sent_while_ejected,
         "the restart did not end the ejection"
--- a/crates/core/tests/source_layout.rs
+++ b/crates/core/tests/source_layout.rs
@@ -75,7 +75,7 @@
     for name in policy_files(&deploy_file()) {
         let text = fs::read_to_string(workspace_root().join(&name)).expect("the policy file is readable");
         let found = violations(&text);
-        assert!(found.is_empty(), "{name}: {found:?}");
+        assert!(found.is_empty(), "{name} exceeds the limits: {found:?}");
     }
 }
 
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -87,8 +87,8 @@
     assert_eq!(refilled.intersection(&subset).count(), subset.len() - 2);
 }
 
-/// Without quotas, the expected load is unknown. A single balancer still uses all upstreams, because no other
-/// balancer would use the rest.
+/// Without quotas, the expected rate of requests is unknown. A single balancer still uses all upstreams,
+/// because no other balancer would use the rest.
 #[test]
 fn a_single_balancer_uses_all_upstreams() {
     let single = settings(0).balancers(1).quotas(&[]).build();
