--- a/crates/core/tests/cancellation.rs
+++ b/crates/core/tests/cancellation.rs
@@ -102,10 +102,10 @@
 }
 
 /// Most responses take longer than the earliest time of a cancellation, and each upstream gets too few
-/// requests to show that it responds. Unless cancelled attempts counted as slow ones, nearly all attempts
-/// would be cancelled although they would have been served.
+/// requests to show that it responds. The balancer must still cancel only few attempts, because all of them
+/// would be served.
 #[test]
-fn cancelled_attempts_raise_the_latency_quantile_so_that_few_are_cancelled() {
+fn few_attempts_are_cancelled_if_most_responses_take_long() {
     let mut harness = BalancerHarness::new(settings_without_hedging().build(), &endpoints(8));
 
     let mut cancelled_attempts = 0;
@@ -130,7 +130,8 @@
 }
 
 /// If every attempt is cancelled, the cancelled attempts are the only sign that responses take long. They
-/// must raise the estimated latency quantile, so that later attempts are cancelled later.
+/// must count as slow ones and raise the estimated latency quantile, so that later attempts are cancelled
+/// later. Otherwise, attempts that would be served would be cancelled again and again.
 #[test]
 fn attempts_are_cancelled_later_after_all_earlier_ones_were_cancelled() {
     const EARLIEST_CANCELLATION_MS: u64 = 240;
--- a/crates/core/tests/capacity/main.rs
+++ b/crates/core/tests/capacity/main.rs
@@ -55,10 +55,10 @@
     served
 }
 
-/// Attempts time out until the balancer admits no more requests, and then the upstreams recover. The balancer
-/// must notice the recovery.
+/// All attempts time out for about a minute, so that the balancer rejects most requests. Then the upstreams
+/// recover, and the balancer must notice the recovery.
 #[test]
-fn a_balancer_that_rejected_all_requests_recovers() {
+fn a_balancer_that_rejected_most_requests_recovers() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).balancers(500).quotas(&[1000.0]).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(40));
     simulate_requests_with_latency(&mut harness, 50, Outcome::Ok, ms(50));
--- a/crates/core/tests/outlier_detection.rs
+++ b/crates/core/tests/outlier_detection.rs
@@ -12,7 +12,7 @@
 }
 
 /// An upstream that fails at once has no requests in flight and looks the least loaded. Without ejection, it
-/// would attract most requests.
+/// would get at least its share of the requests.
 #[test]
 fn an_upstream_that_resets_every_connection_is_ejected_and_returns_once_it_has_recovered() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
@@ -69,7 +69,7 @@
 
 /// If all upstreams seem faulty, the cause is probably elsewhere, and no upstream is a better choice.
 #[test]
-fn requests_are_still_forwarded_when_all_upstreams_are_ejected() {
+fn requests_are_forwarded_soon_after_all_upstreams_were_ejected() {
     let settings = SettingsBuilder::new(RetrySafety::Idempotent).build();
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
     harness.simulate_requests(40, ms(10), |_| Some(Outcome::Reset));
@@ -80,7 +80,7 @@
 
     assert!(
         harness.forwarded_requests() > forwarded_before,
-        "no request was forwarded while all upstreams were ejected"
+        "no request was forwarded after all upstreams had been ejected"
     );
 }
 
