--- a/crates/core/tests/idle_connections.rs
+++ b/crates/core/tests/idle_connections.rs
@@ -10,8 +10,8 @@
 const MIDDLEBOX_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The only sign of connections that were dropped while idle is that requests sent after a pause time out.
-/// Once the balancer has learned this, it closes idle connections before such a request. Requests that soon
-/// follow another one still reuse connections.
+/// Once the balancer has learned this, it must close idle connections before such a request. Requests that
+/// soon follow another one may reuse connections.
 #[test]
 fn idle_connections_that_time_out_after_a_pause_are_closed_before_use() {
     let settings = SettingsBuilder::new(RetrySafety::AtMostOnce).build();
