--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -33,11 +33,11 @@
     assert!(proxy.is_running());
 }
 
-/// A client has to complete its first request within a few seconds of connecting, even if it keeps sending
-/// bytes. Guards against a time left in the request head that extends this period beyond the deadline of the
-/// class.
+/// A client has to complete its first valid request within a few seconds of connecting, even if it keeps
+/// sending bytes. A time left in the request head that is longer than the deadline of the class must not
+/// extend this period.
 #[test]
-fn clients_that_send_no_complete_request_are_closed_within_seconds() {
+fn clients_that_complete_no_valid_request_are_closed_within_seconds() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
     let proxy = ProxyConfig::new(&[upstream.address]).start();
     let complete_request = at_most_once_request(3_000_000, &"x".repeat(9999));
@@ -67,7 +67,10 @@
     let mut writer = client.writer();
     let start = Instant::now();
     while writer.write_all(b"a").is_ok() {
-        assert!(start.elapsed() < TIMEOUT, "timed out waiting until the client that sent {sent:?} is closed");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "timed out waiting until the proxy closes the client that sent {sent:?}"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -32,7 +32,8 @@
         self.reader.get_ref().try_clone().unwrap()
     }
 
-    /// Reads the next response. Returns `None` if the connection ends before the response is complete.
+    /// Reads the next response. Returns `None` if the connection ends before the response is complete, or if
+    /// a read fails or takes longer than [`TIMEOUT`].
     pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
--- a/crates/proxy/tests/common/http.rs
+++ b/crates/proxy/tests/common/http.rs
@@ -13,7 +13,8 @@
 }
 
 impl Message {
-    /// Reads one message. Returns `None` if the connection ends before the message is complete.
+    /// Reads one message. Returns `None` if the connection ends before the message is complete, or if a read
+    /// fails.
     pub fn read(stream: &mut impl BufRead) -> Option<Self> {
         let start_line = read_line(stream)?.trim_end().to_owned();
         let mut headers = Vec::new();
--- a/crates/proxy/tests/common/watching_proxy.rs
+++ b/crates/proxy/tests/common/watching_proxy.rs
@@ -10,7 +10,7 @@
 pub struct WatchingProxy {
     /// The upstream `s-0`.
     pub upstream: StubUpstream,
-    /// The discovery service that the proxy watches.
+    /// The discovery service that sends the endpoint list to the proxy.
     pub discovery: StubDiscovery,
     /// The configuration of the proxy.
     pub config: ProxyConfig,
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -88,8 +88,8 @@
     assert!(setup.discovery.try_next_call().is_none(), "the watch was restarted");
 }
 
-/// Guards against a time to read a list that grows with its length times the number of chunks instead of with
-/// its length.
+/// Guards against a reader whose running time grows with the length of a list times the number of its chunks,
+/// instead of with the length only.
 #[test]
 fn a_list_of_the_maximum_size_takes_effect_when_it_arrives_in_small_chunks() {
     let setup = WatchingProxy::start();
@@ -169,7 +169,7 @@
 /// Guards against fixed limits on the number of upstreams and balancers, and against a delayed start of many
 /// proxies at once while discovery sends no list.
 #[test]
-fn proxies_with_thousands_of_endpoints_are_ready_within_seconds_and_follow_updates() {
+fn proxies_with_1500_endpoints_are_ready_within_seconds_and_follow_updates() {
     const ENDPOINTS: usize = 1500;
     const BALANCERS: u32 = 1500;
     const PROXIES: usize = 10;
--- a/crates/proxy/tests/extreme_values.rs
+++ b/crates/proxy/tests/extreme_values.rs
@@ -1,7 +1,7 @@
 //! Extreme values in every key of the configuration. A process either refuses to start and names the key in
 //! its log, or it serves requests, reloads its configuration and shuts down without a panic.
 //!
-//! By default a sample of the cases runs, drawn from a fixed seed. To run all cases:
+//! By default, and in CI, a sample of the cases runs, drawn from a fixed seed. To run all cases:
 //! `EXTREME_VALUES=all cargo test --release -p balancer-proxy --test extreme_values -- --nocapture`.
 
 mod common;
@@ -20,7 +20,7 @@
 const PARALLEL_CASES: usize = 12;
 /// A period that contains several ticks of the decision logic.
 const SEVERAL_TICKS: Duration = Duration::from_millis(80);
-/// Limit on the sockets and open files of each process.
+/// Limit on the open files of each process, including its sockets.
 const SOCKETS: usize = 256;
 /// Text in the log of a process that has panicked.
 const PANIC_TEXT: &str = "panicked";
@@ -308,7 +308,7 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Runs cases until none is left. Returns the failures.
+/// Runs the cases that no other thread has started, until none is left. Returns the failures.
 fn run_remaining_cases(cases: &[Case], next_case: &AtomicUsize, valid: &Value) -> Vec<String> {
     let mut failures = Vec::new();
     while let Some(case) = cases.get(next_case.fetch_add(1, Ordering::Relaxed)) {
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -6,9 +6,9 @@
 use common::*;
 use std::time::{Duration, Instant};
 
-/// A rejection that states, by the header `X-Unprocessed`, that the request was not executed.
+/// A response that states, by the header `X-Unprocessed`, that the request was rejected and not executed.
 const REJECTED_UNPROCESSED: &str = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
-/// A rejection without `X-Unprocessed`, so that the request may have been executed.
+/// A response with status 503 but without `X-Unprocessed`. The request may have been executed.
 const UNAVAILABLE: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
 const INTERNAL_ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
 /// A response whose body is shorter than its `Content-Length`.
@@ -58,7 +58,7 @@
     }
 }
 
-/// A rejection or a refused connection proves that the request was not executed.
+/// A response with `X-Unprocessed` or a refused connection proves that the request was not executed.
 #[test]
 fn an_at_most_once_request_that_was_not_executed_is_retried_and_served() {
     let rejecting = StubUpstream::start(Behavior::Respond(REJECTED_UNPROCESSED));
@@ -86,8 +86,8 @@
     assert!(retry_after_seconds > 0.0 && retry_after_seconds <= 1.0, "{retry_after_seconds}");
 }
 
-/// Guards against sending a request on a connection that the upstream has closed. This failure cannot be
-/// distinguished from one after the request was executed.
+/// Guards against a request on a connection that the upstream has closed. The failure of such a request
+/// cannot be distinguished from a failure after the request was executed.
 #[test]
 fn an_upstream_connection_that_was_closed_while_idle_is_not_reused() {
     let upstream = StubUpstream::start(Behavior::RespondAndClose(OK_RESPONSE));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_request_to_an_upstream_that_never_responds_fails_before_its_deadline() {
+fn a_request_to_an_upstream_that_never_responds_fails_and_its_upstream_connection_is_closed() {
     let upstream = StubUpstream::start(Behavior::NeverRespond);
     let proxy = ProxyConfig::new(&[upstream.address]).start();
 
--- a/crates/proxy/tests/large_fleet.rs
+++ b/crates/proxy/tests/large_fleet.rs
@@ -101,9 +101,9 @@
     run_seeds("large-fleet", LARGE_FLEET);
 }
 
-/// Guards against lost requests and late requests to draining servers when system calls fail as an operating
-/// system may let them fail: reads and writes are interrupted or incomplete, and accept, socket and connect
-/// temporarily lack resources.
+/// Guards against lost requests, and against requests to draining servers after the grace period, when system
+/// calls fail in ways that their manual pages allow: reads and writes are interrupted or incomplete, and
+/// accept, socket and connect temporarily lack resources.
 #[test]
 fn no_request_is_lost_when_system_calls_fail() {
     let plan = Plan { servers: 400, groups: 20, system_faults_per_mille: 50, ..LARGE_FLEET };
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -138,8 +138,8 @@
     }
 }
 
-/// Guards against heads that are accepted or end the process because they do not fit into the read buffer of
-/// a connection.
+/// The proxy also rejects a head that does not fit into the read buffer of a connection, without waiting for
+/// its end.
 #[test]
 fn a_request_head_far_over_the_limit_is_rejected_while_it_arrives() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
--- a/crates/proxy/tests/shutdown_soak.rs
+++ b/crates/proxy/tests/shutdown_soak.rs
@@ -52,7 +52,7 @@
     failed_seeds: Vec<u64>,
 }
 
-/// Runs seeds until none is left. Returns their combined results.
+/// Runs the seeds that no other thread has started, until none is left. Returns their combined results.
 fn run_remaining_seeds(seeds: &[u64], next_seed: &AtomicUsize, directory: &Path) -> Summary {
     let mut summary = Summary::default();
     while let Some(seed) = seeds.get(next_seed.fetch_add(1, Ordering::Relaxed)) {
@@ -65,8 +65,8 @@
     summary
 }
 
-/// Guards against requests that the process has read but leaves without a response when it shuts down after
-/// SIGTERM.
+/// Guards against requests that the process has read, but that get no response or a late one because it shuts
+/// down after SIGTERM.
 #[test]
 fn no_request_is_lost_on_shutdown() {
     let directory: PathBuf = std::env::temp_dir().join(format!("shutdown-soak-{}", std::process::id()));
--- a/crates/proxy/tests/wall_clock_steps.rs
+++ b/crates/proxy/tests/wall_clock_steps.rs
@@ -17,7 +17,8 @@
 const WINDOW: Duration = Duration::from_secs(1);
 /// Number of windows before the restart.
 const WARM_UP_WINDOWS: usize = 3;
-/// How far the clock that reports the start time is ahead of the clock of the proxy, in seconds.
+/// How far the clock that reports the start time is ahead of the clock of the proxy, in seconds. Negative if
+/// the reporting clock is behind.
 const CLOCK_OFFSETS_S: [i64; 7] = [0, -7, -60, -3700, 7, 30, 3600];
 
 /// A proxy, its upstreams, and the endpoint list that it watches.
@@ -82,8 +83,9 @@
     now.as_millis() as i64
 }
 
-/// Returns the shares of an upstream in successive windows after its restart, reported by a clock that is
-/// ahead by `offset_s` seconds. The same start time is reported again before each window.
+/// Returns the relative shares of the restarted upstream in successive windows after its restart. The start
+/// time is reported by a clock that is ahead by `offset_s` seconds, and the same start time is reported again
+/// before each window.
 fn shares_after_restart(offset_s: i64) -> Vec<f64> {
     let mut scenario = Scenario::start();
     // The proxy needs to know the usual latency first; otherwise every upstream counts as fast.
--- a/crates/testbed/src/balancer_process.rs
+++ b/crates/testbed/src/balancer_process.rs
@@ -32,7 +32,7 @@
     /// Endpoint list with which the process starts, in the JSON form of discovery.
     pub cached_endpoints: &'a str,
     /// Existing directory for the configuration file.
-    pub folder: &'a Path,
+    pub directory: &'a Path,
     /// Variables that are added to the environment of the process.
     pub environment: &'a [(&'static str, OsString)],
     /// Request classes in the form of the settings; `None` stands for a single idempotent class.
@@ -43,7 +43,7 @@
 
 impl ProcessOptions<'_> {
     fn configuration_path(&self) -> PathBuf {
-        self.folder.join(format!("balancer-{}.json", self.index))
+        self.directory.join(format!("balancer-{}.json", self.index))
     }
 
     /// Returns the configuration file in the form that the platform writes. Returns an error if the cached
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -21,7 +21,7 @@
     pub served: usize,
     /// Requests that got a response with another status, because they were rejected or failed.
     pub not_served: usize,
-    /// Requests that got no complete response.
+    /// Requests that were sent but got no complete response.
     pub unanswered: usize,
 }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //! seed.
 //!
 //! [`soak`] runs balancer processes in a fleet of servers of any size. It checks, by the requests that the
-//! servers received, that draining servers get no new requests. It uses these modules:
+//! servers received, that draining servers get no requests after a grace period. It uses these modules:
 //!
 //! - [`registry`]: the endpoint list, with its versions and the changes in each version;
 //! - [`shared_registry`]: the registry as discovery agents and the test share it;
--- a/crates/testbed/src/registry.rs
+++ b/crates/testbed/src/registry.rs
@@ -14,7 +14,7 @@
     Draining,
 }
 
-/// A server in the endpoint list. Most fields have another name on the wire.
+/// A server in the endpoint list. On the wire its fields have the names that discovery uses.
 #[derive(Clone, Debug, Serialize)]
 pub struct Server {
     /// Identifier, which is the same for all balancers.
@@ -37,7 +37,7 @@
     /// Weight of the server; the setting `weight_kind` of the balancer defines its meaning.
     #[serde(rename = "capacity_hint")]
     pub weight: f64,
-    /// When the server last started, in Unix time; 0 stands for long ago.
+    /// When the server last started, in milliseconds of Unix time; 0 stands for long ago.
     #[serde(rename = "boot_ms")]
     pub started_at_unix_ms: u64,
 }
--- a/crates/testbed/src/shim.rs
+++ b/crates/testbed/src/shim.rs
@@ -16,7 +16,8 @@
     pub per_mille: u32,
     /// Seed of the random numbers that choose the failing calls and the clock steps.
     pub seed: u64,
-    /// Whether the wall clock is stepped at random, forward or back by 5 s to about an hour.
+    /// Whether the wall clock steps at random, to offsets of 5 s to about an hour ahead of or behind the real
+    /// time, and back.
     pub steps_clock: bool,
 }
 
@@ -29,9 +30,9 @@
 impl Shim {
     /// Compiles the library in an existing directory. Returns an error if the directory cannot be written to
     /// or the compiler fails.
-    pub fn build(folder: &Path) -> io::Result<Self> {
-        let source = folder.join("system_faults.c");
-        let library = folder.join("system_faults.so");
+    pub fn build(directory: &Path) -> io::Result<Self> {
+        let source = directory.join("system_faults.c");
+        let library = directory.join("system_faults.so");
         std::fs::write(&source, SOURCE)?;
         let status = Command::new("cc")
             .args(["-Wall", "-Wextra", "-O1", "-shared", "-fPIC", "-o"])
--- a/crates/testbed/src/shutdown/clients.rs
+++ b/crates/testbed/src/shutdown/clients.rs
@@ -83,7 +83,7 @@
     fn run(mut self) -> Vec<SentRequest> {
         while self.may_connect() {
             if let Ok(stream) = TcpStream::connect(self.address) {
-                // An error only ends the connection. A request that got no response has been recorded.
+                // An error only ends the connection. A request that was sent but got no response is recorded.
                 let _ = self.send_on_connection(&stream);
             }
             thread::sleep(RECONNECT_PAUSE);
--- a/crates/testbed/src/shutdown/mod.rs
+++ b/crates/testbed/src/shutdown/mod.rs
@@ -51,23 +51,23 @@
     pub not_read: usize,
     /// Requests that got a late response, or none although the balancer had read them.
     pub lost: Vec<LostRequest>,
-    /// Whether the process ended before SIGTERM, or ended with an error.
+    /// Whether the process ended before the first signal of the run, or ended with an error.
     pub has_crashed: bool,
     /// Whether the process was still running at the time of SIGKILL.
     pub was_killed: bool,
 }
 
-/// Runs the plan that is drawn from `seed`. `program` is the executable of the balancer, and `folder` an
+/// Runs the plan that is drawn from `seed`. `program` is the executable of the balancer, and `directory` an
 /// existing directory for its configuration file and the shim.
 ///
 /// Returns an error if a stand-in or the balancer process cannot be started or controlled. Faults of the
 /// balancer are in the report instead.
-pub fn run(seed: u64, program: &Path, folder: &Path) -> io::Result<Report> {
+pub fn run(seed: u64, program: &Path, directory: &Path) -> io::Result<Report> {
     let plan = Plan::draw(seed);
     let upstreams = Upstreams::start(&plan)?;
     let registry = SharedRegistry::new(Registry::new(servers(&upstreams)));
     let agent = Agent::start(&registry, NO_AGENT_FAULTS, seed)?;
-    let shim = Shim::build(folder)?;
+    let shim = Shim::build(directory)?;
     let faults =
         SystemFaults { per_mille: plan.system_faults_per_mille, seed, steps_clock: plan.steps_clock };
     let mut process = BalancerProcess::start(&ProcessOptions {
@@ -76,7 +76,7 @@
         balancers: 1,
         discovery: agent.address(),
         cached_endpoints: &registry.update(UpdateScope::Snapshot { include_draining: true }).json,
-        folder,
+        directory,
         environment: &shim.environment(faults),
         classes: Some(plan.classes_json()),
         log_level: "debug",
--- a/crates/testbed/src/soak/fleet.rs
+++ b/crates/testbed/src/soak/fleet.rs
@@ -38,7 +38,7 @@
     pub processes: HashMap<String, ProcessHistory>,
     pub report: Report,
     program: &'a Path,
-    folder: &'a Path,
+    directory: &'a Path,
     shim: Option<Shim>,
     groups: ServerGroups,
 }
@@ -64,10 +64,10 @@
 
 impl<'a> Fleet<'a> {
     /// Starts the servers and the discovery agents, but no balancers.
-    pub fn new(plan: Plan, seed: u64, program: &'a Path, folder: &'a Path) -> io::Result<Self> {
+    pub fn new(plan: Plan, seed: u64, program: &'a Path, directory: &'a Path) -> io::Result<Self> {
         let mut random = fastrand::Rng::with_seed(seed);
         let shim = if plan.system_faults_per_mille > 0 || plan.steps_clock {
-            Some(Shim::build(folder)?)
+            Some(Shim::build(directory)?)
         } else {
             None
         };
@@ -91,7 +91,7 @@
             processes: HashMap::new(),
             report: Report::default(),
             program,
-            folder,
+            directory,
             shim,
             groups,
         })
@@ -120,7 +120,7 @@
             balancers: self.plan.balancers,
             discovery: self.balancers[index].agent.address(),
             cached_endpoints,
-            folder: self.folder,
+            directory: self.directory,
             environment: &environment,
             classes: None,
             log_level: "info",
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,12 +1,13 @@
 //! Soak test of balancer processes in a fleet of servers, with faults drawn from a seed.
 //!
-//! It guards against balancer processes that go on sending requests to a draining server after they were
-//! notified, for example because a watch broke during the update, or because the process started with an old
-//! endpoint list.
+//! It guards against balancer processes that go on sending requests to a draining server after a grace
+//! period, which begins when the process is notified. This can happen, for example, when a watch breaks
+//! during the update, or when the process starts with an old endpoint list.
 //!
 //! - `fleet`: the servers, the discovery agents and the balancer processes of a run;
-//! - `faults`: groups of servers drain and become ready again, weights of many servers change at once,
-//!   discovery moves or stalls, and balancers are paused, or killed and restarted with an old endpoint list.
+//! - `faults`: groups of servers drain and become ready again, the weights of a quarter of the servers (often
+//!   hundreds) change at once, discovery moves or stalls, and balancers are paused, or killed and restarted
+//!   with an old endpoint list.
 
 mod faults;
 mod fleet;
@@ -70,12 +71,12 @@
 }
 
 /// Runs a plan with the faults that `seed` determines. `program` is the executable of the balancer, and
-/// `folder` an existing directory for its configuration files and the shim.
+/// `directory` an existing directory for its configuration files and the shim.
 ///
 /// Returns an error if a stand-in or a balancer process cannot be started or controlled. Faults of the
 /// balancers are in the report instead.
-pub fn run(plan: Plan, seed: u64, program: &Path, folder: &Path) -> io::Result<Report> {
-    let mut fleet = Fleet::new(plan, seed, program, folder)?;
+pub fn run(plan: Plan, seed: u64, program: &Path, directory: &Path) -> io::Result<Report> {
+    let mut fleet = Fleet::new(plan, seed, program, directory)?;
     fleet.start_all_balancers()?;
     let end = Instant::now() + plan.duration;
     while Instant::now() < end {
