--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Runs all checks that a change has to pass; see README.md. The test crates/core/tests/source_layout.rs checks the size
-# limits of the policy files. Skips the tests that KNOWN-RED.txt lists, and prints their entries at the end.
+# Runs all checks that a change has to pass; see README.md. The tests in crates/core/tests/source_layout.rs check the size
+# limits of the policy files, which are the files that `policy` in deploy/balancer.toml lists. This script skips the tests
+# that KNOWN-RED.txt lists, and prints their entries at the end.
 set -eu
 cd "$(dirname "$0")"
 cargo fmt --all --check
