--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -12,15 +12,15 @@
 /// Minimum number of requests of all tenants in the averaging window. It keeps the demand of a tenant that
 /// sends nothing for a moment above zero.
 const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
-/// Lower bound of the total demand from which the averaging window is computed, in requests per second. It
-/// limits the length of the window when there is little traffic.
+/// Minimum of the total demand from which the averaging window is computed, in requests per second. It limits
+/// the length of the window when there is little traffic.
 const MIN_TOTAL_DEMAND_PER_SECOND: f64 = 0.1;
-/// Largest burst that a bucket allows, in seconds of the guaranteed rate. Saved tokens admit requests even
+/// Maximum burst that a bucket allows, in seconds of the guaranteed rate. Saved tokens admit requests even
 /// right after a loss of capacity, so a larger bucket would cause more overload.
 const MAX_GUARANTEE_BURST_SECONDS: f64 = 1.0;
 /// Factor by which raised guarantees exceed the median tenant's demand.
 const GUARANTEE_HEADROOM: f64 = 1.3;
-/// Largest multiple of a tenant's quota to which its guaranteed rate is raised.
+/// Maximum multiple of a tenant's quota to which its guaranteed rate is raised.
 const MAX_GUARANTEE_FACTOR: f64 = 4.0;
 /// Time constant of the smoothed overload, by which the buckets shrink.
 const OVERLOAD_SMOOTHING_SECONDS: f64 = 0.3;
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -1,11 +1,12 @@
 //! Estimate of the spare capacity W that the upstreams have for this balancer.
 //!
 //! W is the sum of tau * C_j + Q_j - q_j over the upstreams j in rotation. The term tau * C_j is the number
-//! of requests that upstream j completes in a tick, and Q_j - q_j is the free part of its queue. The symbols
-//! are those of the paper that the token bucket follows.
+//! of requests that upstream j completes in a tick of tau seconds, and Q_j - q_j is the free part of its
+//! queue. The symbols are those of the paper that `token_bucket.rs` names.
 //!
-//! C_j is learned from completions and, if upstreams report it, from their CPU utilization. Q_j follows from
-//! C_j and from the time that a request may spend at an upstream.
+//! C_j is the rotation weight of upstream j times the service rate C per unit of weight. C is learned from
+//! completions and, if upstreams report it, from their CPU utilization. Q_j follows from C_j and from the
+//! time that a request may spend at an upstream.
 
 use crate::latency::LatencySummary;
 use crate::settings::Settings;
@@ -25,9 +26,9 @@
 const TARGET_UTILIZATION_FOR_OVER_QUOTA: f64 = 0.4;
 /// Value of [`Settings::over_quota_weight`] above which the target utilization does not increase.
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
-/// Largest factor by which the completion rate of underutilized upstreams is extrapolated.
+/// Maximum factor by which the completion rate of underutilized upstreams is extrapolated.
 const MAX_EXTRAPOLATION: f64 = 2.0;
-/// Lower bound of the utilization from which a rate is extrapolated.
+/// Minimum of the utilization from which a rate is extrapolated. Lower utilizations count as this one.
 pub(crate) const MIN_UTILIZATION: f64 = 0.1;
 
 /// Estimator of how many requests the upstreams can take beyond those in flight.
@@ -105,7 +106,8 @@
 
     /// Updates C from the observed rate, which is per unit of rotation weight. A lower rate is adopted at
     /// once if utilization is reported or a class exceeds its allowed mean latency, because requests that are
-    /// admitted for lost capacity fill the queues. Otherwise, it is adopted over [`RATE_DECAY_SECONDS`].
+    /// admitted for capacity that no longer exists fill the queues. Otherwise, it is adopted over
+    /// [`RATE_DECAY_SECONDS`].
     fn update_rate(
         &mut self,
         elapsed_seconds: f64,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -27,7 +27,7 @@
     pub hardware: HardwareId,
     /// Cell that the upstream belongs to.
     pub cell: CellId,
-    /// Whether the upstream accepts requests.
+    /// Whether the upstream accepts requests, is draining or has been removed.
     pub availability: Availability,
     /// Weight of the upstream; [`Settings::weight_kind`](crate::Settings::weight_kind) defines its meaning.
     pub weight: f64,
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -6,7 +6,7 @@
 
 use crate::time::Timestamp;
 
-/// Shortest idle time after which a connection may have been dropped.
+/// Minimum idle time after which a connection may have been dropped.
 const MIN_IDLE_SECONDS: f64 = 0.3;
 /// Time after the latest sign of a drop during which idle connections are closed instead of used.
 const SUSPICION_SECONDS: f64 = 15.0;
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -25,7 +25,7 @@
 const OVERDUE_QUANTILE: f64 = 0.95;
 /// Relative step by which each attempt moves the estimate of [`OVERDUE_QUANTILE`].
 const QUANTILE_STEP: f64 = 0.05;
-/// Lower bound of the estimated quantile, unless the latency objective is shorter. It is two ticks, because
+/// Minimum of the estimated quantile, unless the latency objective is shorter. It is two ticks, because
 /// overdue attempts are detected once per tick.
 const MIN_QUANTILE_SECONDS: f64 = 2.0 * TICK_SECONDS;
 /// Share of the latency objective after which an attempt counts as overdue even if the estimated quantile is
@@ -36,13 +36,13 @@
 /// Factor that turns the duration of an abandoned attempt into its assumed latency. The response would have
 /// taken longer than the balancer waited for it.
 const ABANDONED_LATENCY_FACTOR: f64 = 1.5;
-/// Upper bound of a single latency in the mean, in multiples of the latency objective.
+/// Maximum of a single latency in the mean, in multiples of the latency objective.
 const MAX_LATENCY_IN_OBJECTIVES: f64 = 2.0;
-/// Time constant of the mean latency if attempts are rare.
+/// Time constant of the mean latency, as far as the limits of the weight of a new attempt allow.
 const AVERAGING_SECONDS: f64 = 3.0;
-/// Smallest weight of a new attempt in the mean latency.
+/// Minimum weight of a new attempt in the mean latency.
 const MIN_ATTEMPT_WEIGHT: f64 = 0.02;
-/// Largest weight of a new attempt in the mean latency.
+/// Maximum weight of a new attempt in the mean latency.
 const MAX_ATTEMPT_WEIGHT: f64 = 0.2;
 
 /// Comparison of the latencies of all classes with their objectives.
@@ -69,7 +69,7 @@
     admitted_share: f64,
 }
 
-/// How long an attempt took, in seconds, and how it ended.
+/// The time that an attempt took, in seconds, and how the attempt ended.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum LatencySample {
     /// The upstream served the request after this time.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The crate does no I/O and reads no clock. The program that embeds it, the embedder, delivers [`Event`]s
 //! and the current time to a [`Balancer`] and carries out the [`Action`]s that the balancer returns. The same
-//! settings, seed and events always result in the same actions.
+//! settings, seed, events and times always result in the same actions.
 //!
 //! ```
 //! use balancer_core::*;
@@ -64,11 +64,11 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! The embedder must deliver [`Event::TimerFired`] for each timer that [`Action::SetTimer`] sets, which
-//! includes the balancer's tick. It must end each attempt as [`Outcome::TimedOut`] at the attempt's timeout
-//! or, at the latest, at the client's deadline. Under these conditions, each request ends exactly once: with
-//! the response of an attempt that the embedder forwards, with [`Action::Reject`] or [`Action::Fail`], or
-//! with the disconnection of its client.
+//! The embedder must deliver [`Event::TimerFired`] for each timer that [`Action::SetTimer`] sets. One of them
+//! runs the balancer's periodic work, the tick. The embedder must end each attempt as [`Outcome::TimedOut`]
+//! at the attempt's timeout or, at the latest, at the client's deadline. Under these conditions, each request
+//! ends exactly once: with the response of an attempt that the embedder forwards, with [`Action::Reject`] or
+//! [`Action::Fail`], or with the disconnection of its client.
 
 mod action;
 mod admission;
--- a/crates/core/src/random.rs
+++ b/crates/core/src/random.rs
@@ -2,7 +2,7 @@
 
 use std::ops::RangeFull;
 
-/// Smallest factor that [`Random::jitter_factor`] returns.
+/// Minimum factor that [`Random::jitter_factor`] returns.
 const MIN_JITTER: f64 = 0.75;
 /// Width of the range of factors that [`Random::jitter_factor`] returns.
 const JITTER_RANGE: f64 = 0.5;
--- a/crates/core/src/requests/arrival.rs
+++ b/crates/core/src/requests/arrival.rs
@@ -11,7 +11,7 @@
 /// Share of the latency objective after which a response is useless in a class whose late responses have no
 /// value. The rest of the objective is left for sending the response to the client.
 const USEFUL_SHARE_OF_OBJECTIVE: f64 = 0.98;
-/// Lowest Retry-After of a rejected request, as a share of the longest possible one.
+/// Minimum Retry-After of a rejected request, as a share of the maximum that applies to it.
 const MIN_RETRY_AFTER_SHARE: f64 = 0.5;
 
 impl Balancer {
--- a/crates/core/src/requests/attempt.rs
+++ b/crates/core/src/requests/attempt.rs
@@ -32,8 +32,8 @@
         self.outcome == Outcome::Ok
     }
 
-    /// Returns the attempt's sample for the latency statistics; `None` if it was neither served nor
-    /// abandoned.
+    /// Returns the attempt's sample for the latency statistics; `None` if it was neither served nor abandoned
+    /// (see [`AttemptResult::is_abandoned`]).
     fn latency_sample(&self, result: &AttemptResult) -> Option<LatencySample> {
         if self.is_served() {
             Some(LatencySample::Served(self.latency_seconds))
--- a/crates/core/src/requests/overdue.rs
+++ b/crates/core/src/requests/overdue.rs
@@ -43,8 +43,8 @@
     }
 
     /// Cancels an overdue attempt or schedules its next check. Then hedges its request, if hedging is
-    /// possible and the attempt has just become overdue. The later checks are due when the attempt is long
-    /// overdue, so that a retry would still be in time, and when the response becomes useless.
+    /// possible and the attempt has just become overdue. Later checks are due when the attempt is long
+    /// overdue, which still leaves time for a retry, and when the response becomes useless.
     fn handle_overdue_attempt(&mut self, check: OverdueCheck) {
         let Some(attempt) = self.mark_overdue(check) else { return };
         if self.should_cancel(&attempt) {
@@ -86,10 +86,10 @@
         })
     }
 
-    /// Returns whether to cancel an attempt. Attempts are cancelled only at an unresponsive upstream. Any
-    /// other upstream would do its work in vain, or the work would be done twice. A single attempt without a
-    /// response does not show that an upstream is unresponsive, because each balancer gets few responses from
-    /// one upstream.
+    /// Returns whether to cancel an attempt. Attempts are cancelled only at an unresponsive upstream. At a
+    /// responsive upstream, the work done so far would be wasted or, with a retry, done twice. A single
+    /// attempt without a response does not show that an upstream is unresponsive, because each balancer gets
+    /// few responses from one upstream.
     fn should_cancel(&self, attempt: &OverdueAttempt) -> bool {
         let is_useless = self.now >= attempt.useful_until;
         self.settings.cancellation
--- a/crates/core/src/requests/retry.rs
+++ b/crates/core/src/requests/retry.rs
@@ -34,7 +34,8 @@
 /// Load added to an upstream in another zone when upstreams are compared for a retry.
 const OTHER_ZONE_LOAD_PENALTY: f64 = 1e6;
 /// Load added to an upstream outside the subset when upstreams are compared for a retry. Such an upstream is
-/// used only if no member of the subset is possible, for example if only one cell knows the idempotency key.
+/// used only if no member of the subset may take the retry, for example because only the upstreams of one
+/// cell know the idempotency key.
 const OUTSIDE_SUBSET_LOAD_PENALTY: f64 = 2e6;
 
 /// Budget that limits retries and hedged requests to a share of the admitted requests. Amounts are in
--- a/crates/core/src/round_robin.rs
+++ b/crates/core/src/round_robin.rs
@@ -14,17 +14,18 @@
 /// skipped.
 const SKIP_LOAD_RATIO: f64 = 1.5;
 /// Load that is added to the limit of [`SKIP_LOAD_RATIO`], in requests divided by the relative capacity of
-/// the upstream. It prevents small differences at low load from skipping an upstream.
+/// the upstream. Without it, small differences at low load would cause upstreams to be skipped.
 const SKIP_LOAD_MARGIN: f64 = 0.5;
 /// Maximum number of turns that an upstream accumulates.
 const MAX_TURN_CREDIT: f64 = 2.0;
-/// Rounds of the rotation after which the search for an upstream with a whole turn ends.
+/// Maximum number of rounds of the rotation in one search for an upstream with a whole turn.
 const MAX_SEARCH_ROUNDS: usize = 8;
 
 /// The upstreams that may get requests of a class.
 struct Eligibility {
     class: usize,
-    /// Whether all members of the subset are in rotation and ejected for the class. None is excluded then.
+    /// Whether all members of the subset are in rotation and ejected for the class. Then none of them is
+    /// excluded.
     all_are_ejected: bool,
 }
 
@@ -108,7 +109,7 @@
             self.look_ahead.push_back(position);
             eligible_count += usize::from(eligibility.includes(upstreams, position));
         }
-        // The look-ahead is full, usually of turns of ineligible upstreams. The oldest turn is dropped so
+        // The look-ahead is full, usually with turns of ineligible upstreams. The oldest turn is dropped so
         // that the next call can advance.
         if self.look_ahead.len() >= max_length {
             self.look_ahead.pop_front();
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -162,10 +162,9 @@
     /// Whether the balancer starts each watch of the endpoint list itself with
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints), and starts another one after a failure.
     pub starts_watches: bool,
-    /// Time since its last poll of discovery after which a balancer counts as notified of all changes up to
-    /// then.
+    /// Time without a poll of discovery after which a balancer counts as notified of all changes made so far.
     pub poll_interval: Duration,
-    /// Smallest share of its full capacity that an upstream has when slow start begins.
+    /// Minimum share of its full capacity that an upstream has when slow start begins.
     pub slow_start_floor: f64,
     /// Duration of slow start.
     pub slow_start_duration: Duration,
@@ -182,7 +181,7 @@
     pub cancellation: bool,
     /// Whether health checks may be sent. Currently not used by the balancer.
     pub health_checks: bool,
-    /// Longest Retry-After that clients respect.
+    /// Maximum Retry-After that clients respect.
     pub max_retry_after: Duration,
     /// Time after which an attempt to connect to an upstream counts as failed.
     pub connect_timeout: Duration,
@@ -254,7 +253,7 @@
     MaxStreams,
     /// Share of the priority weight that a request over quota earns.
     OverQuotaWeight,
-    /// Smallest share of its capacity that an upstream has in slow start.
+    /// Minimum share of its full capacity that an upstream has in slow start.
     SlowStartFloor,
     /// Multiple of its capacity that overloads an upstream in slow start.
     OverloadFactor,
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
-    /// Number of requests since the last refill.
+    /// Number of requests that arrived since the last refill, admitted or not.
     arrivals: f64,
     /// Smoothed rate of arriving requests, per second.
     demand: f64,
@@ -110,7 +110,7 @@
         self.arrivals = 0.0;
     }
 
-    /// Returns the largest number of tokens that the bucket may hold. The size shrinks under overload,
+    /// Returns the maximum number of tokens that the bucket may hold. The size shrinks under overload,
     /// because saved tokens would otherwise keep admitting requests for seconds. For a tenant within its
     /// guaranteed rate, overload caused by the excess demand of other tenants is not counted.
     fn size(&self, inputs: &RefillInputs) -> f64 {
--- a/crates/core/src/upstreams/load_reports.rs
+++ b/crates/core/src/upstreams/load_reports.rs
@@ -8,7 +8,7 @@
 const IN_FLIGHT_DECAY_SECONDS: f64 = 1.0;
 /// Age in seconds from which a reported utilization is no longer used.
 const UTILIZATION_VALID_SECONDS: f64 = 3.0;
-/// Upper limit that every value in a load report is clamped to.
+/// Maximum of every value in a load report. Higher values count as this one.
 const MAX_REPORTED_VALUE: f64 = 1e4;
 
 /// The load that an upstream reported most recently.
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: ejects upstreams that fail.
 //!
 //! An upstream that is unreachable is ejected for all classes for a limited time. An upstream that responds
-//! to a class with failures, or not in time, is ejected for that class, or for each class separately if it
-//! serves none, and is then probed with single requests until it serves one in time.
+//! to requests of a class with failures, or not in time, is ejected for that class. If it serves no class, it
+//! is ejected for each class separately. It is then probed with single requests until it serves one in time.
 
 use crate::event::Outcome;
 use crate::random::Random;
@@ -16,10 +16,10 @@
 /// between, the upstream is ejected for each class. The number is low because the failed attempts of all
 /// balancers add to the queue of a stuck upstream.
 const FAILURES_TO_EJECT: u32 = 2;
-/// Seconds without a served request of a class after which a single failure other than an error response
+/// Minimum time without a served request of a class after which a single failure other than an error response
 /// ejects the upstream for that class, provided that the class as a whole is well within its latency
 /// objective.
-const UNRESPONSIVE_SECONDS: f64 = 3.0;
+const MIN_UNSERVED_SECONDS: f64 = 3.0;
 /// Share of the latency objective below which the mean latency of a class is well within the objective. A
 /// higher mean latency can be a sign of overload: then all upstreams are slow, and ejecting some of them
 /// would increase the load on the others.
@@ -30,16 +30,16 @@
 const RESETS_TO_EJECT: u32 = 3;
 /// Number of connection resets that a failure to connect counts as.
 const RESETS_PER_FAILED_CONNECT: u32 = 2;
-/// Time without any response that must pass before an upstream counts as unreachable.
+/// Minimum time without any response before an upstream counts as unreachable.
 const MIN_UNREACHABLE_SECONDS: f64 = 0.25;
 /// Duration of the first ejection for all classes, and of the wait before the first probe request of a
 /// class. Each further ejection without a success in between doubles the duration, up to
 /// [`MAX_EJECTION_DOUBLINGS`] times. Each further probe request doubles the wait, up to
 /// [`MAX_PROBE_DOUBLINGS`] times.
 const BASE_EJECTION_SECONDS: f64 = 1.5;
-/// Largest number of times that the duration of an ejection is doubled.
+/// Maximum number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Largest number of times that the wait between two probe requests of a class is doubled.
+/// Maximum number of times that the wait between two probe requests of a class is doubled.
 const MAX_PROBE_DOUBLINGS: u32 = 4;
 
 /// Returns whether a class with this mean latency of served attempts is so far below its latency objective
@@ -55,12 +55,12 @@
     /// Connection resets since the last response or ejection for all classes. A failure to connect counts as
     /// [`RESETS_PER_FAILED_CONNECT`] resets.
     consecutive_resets: u32,
-    /// When the upstream last responded with a success, an error or a rejection;
-    /// [`Timestamp::DISTANT_PAST`] if it has not responded.
+    /// Time of the last response, which is a success, an error or a rejection; [`Timestamp::DISTANT_PAST`] if
+    /// the upstream has not responded.
     last_response_at: Timestamp,
     /// Ejections for all classes since the last success that was not overdue.
     consecutive_ejections: u32,
-    /// When the latest ejection for all classes ends; [`Timestamp::ZERO`] if there was none.
+    /// Time at which the latest ejection for all classes ends; [`Timestamp::ZERO`] if there was none.
     ejected_until: Timestamp,
     classes: Vec<ClassOutlierState>,
 }
@@ -73,7 +73,7 @@
     last_served_at: Timestamp,
     /// Whether the upstream is ejected for this class.
     ejected: bool,
-    /// When the upstream was last probed for this class, or ejected if it has not been probed since.
+    /// Time at which the upstream was last probed for this class, or ejected if it has not been probed since.
     last_probed_at: Timestamp,
 }
 
@@ -96,7 +96,8 @@
         self.ejected_until > now
     }
 
-    /// Returns when the latest ejection for all classes ends, or [`Timestamp::ZERO`] if there was none.
+    /// Returns the time at which the latest ejection for all classes ends, or [`Timestamp::ZERO`] if there
+    /// was none.
     pub(crate) fn ejected_until(&self) -> Timestamp {
         self.ejected_until
     }
@@ -107,8 +108,8 @@
         self.classes[class].ejected
     }
 
-    /// Returns when the upstream last responded with a success, an error or a rejection, or
-    /// [`Timestamp::DISTANT_PAST`] if it has not responded.
+    /// Returns the time of the last response, which is a success, an error or a rejection, or
+    /// [`Timestamp::DISTANT_PAST`] if the upstream has not responded.
     pub(crate) fn last_response_at(&self) -> Timestamp {
         self.last_response_at
     }
@@ -175,8 +176,8 @@
 }
 
 impl ProbeSchedule {
-    /// Records that an upstream was ejected for the class. Schedules a probe request after the base
-    /// duration, unless one is scheduled already.
+    /// Records that an upstream was ejected for the class. Schedules a probe request after the base duration
+    /// of an ejection, unless one is scheduled already.
     fn record_ejection(&mut self, now: Timestamp, random: &mut Random) {
         if self.next_probe_at <= now {
             self.unsuccessful_probes = 0;
@@ -263,8 +264,9 @@
         }
     }
 
-    /// Ejects an unreachable upstream for all classes. After the ejection, the upstream is in slow start
-    /// with a random budget below one request, so that all balancers together probe it at a low rate.
+    /// Ejects an unreachable upstream for all classes. After the ejection, the upstream is in slow start with
+    /// a random budget below one request, so that all balancers together send it requests at a low rate at
+    /// first.
     fn eject_for_all_classes(&mut self, now: Timestamp, position: UpstreamPosition, random: &mut Random) {
         let upstream = &mut self.upstreams[position];
         upstream.outlier.eject(now, random);
@@ -301,11 +303,11 @@
     ) {
         let outlier = &self.upstreams[position].outlier;
         let class_state = &outlier.classes[result.class];
-        let is_unresponsive =
-            now - class_state.last_served_at > UNRESPONSIVE_SECONDS && result.class_is_well_within_objective;
+        let single_failure_ejects =
+            now - class_state.last_served_at > MIN_UNSERVED_SECONDS && result.class_is_well_within_objective;
         let failures = class_state.consecutive_failures;
         let class_failed = failures >= FAILURES_TO_EJECT
-            || (is_unresponsive && failures > 0 && result.outcome != Outcome::Error);
+            || (single_failure_ejects && failures > 0 && result.outcome != Outcome::Error);
         let upstream_failed = outlier.consecutive_failures >= FAILURES_TO_EJECT;
         for class in 0..outlier.classes.len() {
             if upstream_failed || (class_failed && class == result.class) {
--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -1,10 +1,10 @@
 //! Detects in endpoint lists that the process of an upstream has started, which begins slow start.
 //!
-//! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds
-//! or hours at any time. Such a start is therefore detected by an incarnation that differs from the one
-//! listed before, and slow start is measured on the embedder's monotonic clock. Slow start begins when the
-//! list arrives, moved back by the delay of the list: the age that the process start then has by the wall
-//! clock, of which at most a small share of the duration of slow start counts.
+//! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds or
+//! hours at any time. Such a start is therefore detected by an incarnation that differs from the one listed
+//! before, and slow start is measured on the embedder's monotonic clock. The beginning of slow start is the
+//! arrival of the list, moved back by the delay of the list. The delay is the age that the process start then
+//! has by the wall clock; at most a small share of the duration of slow start counts.
 //!
 //! The lists that a new balancer begins with are the only exception. The wall clock is then the only means
 //! to tell an old start from a recent one, so slow start begins at the stated time.
@@ -15,12 +15,12 @@
 use crate::time::Timestamp;
 use rustc_hash::FxHashMap;
 
-/// Largest number of removed upstreams whose process starts are kept.
+/// Maximum number of removed upstreams whose process starts are kept.
 const MAX_REMOVED_UPSTREAMS: usize = 4096;
-/// Largest time by which the beginning of slow start is moved back for the delay of a list, as a share of
-/// the duration of slow start. The delay is the age of the process start by a wall clock. The limit ensures
-/// that a step of that clock moves the beginning by no more than this share, for which the request budget in
-/// slow start leaves enough room.
+/// Maximum time by which the beginning of slow start is moved back for the delay of a list, as a share of the
+/// duration of slow start. The delay is the age of the process start by a wall clock. The limit ensures that
+/// a step of that clock moves the beginning by no more than this share, for which the request budget in slow
+/// start leaves enough room.
 const MAX_DELAY_SHARE: f64 = 0.1;
 
 /// The kind of an endpoint list: one that a new balancer begins with, or a later one.
@@ -44,9 +44,9 @@
 }
 
 impl KnownStart {
-    /// Returns the process start of an upstream that is added to the set, and when its slow start begins,
-    /// which is `None` if the upstream is assumed to have warmed up already. `set_was_empty` states that the
-    /// set had no upstreams before this list.
+    /// Returns the process start of an upstream that is added to the set, and the time at which its slow
+    /// start begins, which is `None` if the upstream is assumed to have warmed up already. `set_was_empty`
+    /// tells whether the set had no upstreams before this list.
     pub(crate) fn for_new_upstream(
         now: Timestamp,
         listed_start: ProcessStart,
@@ -69,8 +69,9 @@
         (known, started_at)
     }
 
-    /// Records the process start that an entry states for a known upstream. Returns when slow start begins
-    /// again if the process has restarted less than the duration of slow start ago, and `None` otherwise.
+    /// Records the process start that an entry states for a known upstream. Returns the time at which slow
+    /// start begins again if the process has restarted less than the duration of slow start ago, and `None`
+    /// otherwise.
     pub(crate) fn detect_recent_restart(
         &mut self,
         now: Timestamp,
@@ -99,8 +100,9 @@
     }
 }
 
-/// Returns when slow start begins for a process start whose age by a wall clock is `age_seconds`. `now` is
-/// the time at which the list arrived. Except for initial lists, the age is limited by [`MAX_DELAY_SHARE`].
+/// Returns the time at which slow start begins for a process start whose age by a wall clock is
+/// `age_seconds`. `now` is the time at which the list arrived. Except for initial lists, the age is limited
+/// by [`MAX_DELAY_SHARE`].
 fn wall_clock_start(now: Timestamp, age_seconds: f64, kind: ListKind, settings: &Settings) -> Timestamp {
     let max_delay_seconds = MAX_DELAY_SHARE * settings.slow_start_duration.as_secs_f64();
     match kind {
@@ -120,7 +122,8 @@
 #[derive(Clone, Copy)]
 pub(crate) struct RemovedUpstreamStart {
     incarnation: u64,
-    /// When slow start of the upstream began; `None` if the upstream had warmed up before it was dropped.
+    /// Time at which slow start of the upstream began; `None` if the upstream had warmed up before it was
+    /// dropped.
     pub(crate) slow_start_began_at: Option<Timestamp>,
 }
 
--- a/crates/core/src/upstreams/set.rs
+++ b/crates/core/src/upstreams/set.rs
@@ -15,8 +15,9 @@
 
 /// Weight of an upstream whose listed weight is zero, negative or not finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Removed upstreams without attempts in flight are dropped when they are more than one in this many
-/// upstreams of the set, or earlier when upstreams are added.
+/// Divisor of the number of upstreams in the set that gives the maximum number of droppable ones: removed
+/// upstreams without attempts in flight. They are dropped once there are more, or earlier when upstreams are
+/// added.
 const MAX_DROPPABLE_DIVISOR: usize = 4;
 
 /// All upstreams that this balancer keeps state for, and the subset of them that takes requests. They
@@ -27,14 +28,14 @@
     positions: FxHashMap<UpstreamId, UpstreamPosition>,
     /// Positions of the members of the subset, in the order of rotation of this balancer.
     pub(super) subset: Vec<UpstreamPosition>,
-    /// Least number of upstreams in the subset, if so many are ready.
+    /// Minimum number of upstreams in the subset, if that many are ready.
     pub(super) min_subset_size: usize,
-    /// When the subset has to be selected again at the latest.
+    /// Time at which the subset has to be selected again at the latest.
     pub(super) next_selection_at: Timestamp,
     /// The schedule of the probe requests of each class, indexed by class.
     pub(super) probe_schedules: Vec<ProbeSchedule>,
     removed_starts: RemovedUpstreamStarts,
-    /// When the decay of the abandoned attempts was last applied to the upstreams outside the subset.
+    /// Time up to which the numbers of abandoned attempts at upstreams outside the subset have decayed.
     pub(super) outside_subset_decayed_at: Timestamp,
     /// Whether discovery has delivered a list.
     has_list_from_discovery: bool,
@@ -189,12 +190,12 @@
         if let Some(&position) = self.positions.get(&entry.id) {
             return position;
         }
-        let (known_start, mut started_at) =
+        let (known_start, mut slow_start_began_at) =
             KnownStart::for_new_upstream(now, entry.process_start, list_kind, set_was_empty, settings);
         if let Some(removed) = self.removed_starts.take_if_same_start(entry.id, entry.process_start) {
-            started_at = removed.slow_start_began_at;
+            slow_start_began_at = removed.slow_start_began_at;
         }
-        let slow_start = SlowStart::new(started_at, random.fraction());
+        let slow_start = SlowStart::new(slow_start_began_at, random.fraction());
         let mut upstream = Upstream::new(entry.id, known_start, slow_start, self.probe_schedules.len());
         upstream.awaits_selection = !set_was_empty;
         let position = self.upstreams.push(upstream);
@@ -213,7 +214,7 @@
         let removed_starts = &mut self.removed_starts;
         self.upstreams.retain(|upstream| {
             if upstream.can_be_dropped() {
-                let began_at = upstream.slow_start.started_at();
+                let began_at = upstream.slow_start.began_at();
                 removed_starts.insert(upstream.id, upstream.known_start, began_at);
             }
             !upstream.can_be_dropped()
@@ -250,7 +251,8 @@
         was_ready != self.is_ready() || restarted_at.is_some()
     }
 
-    /// Derives the size of the upstream and, from a live weight, its reported load from the listed weight.
+    /// Derives the size of the upstream from the listed weight, and from a live weight also its reported
+    /// load.
     fn apply_weight(&mut self, now: Timestamp, listed_weight: f64, settings: &Settings) {
         let weight =
             if listed_weight > 0.0 && listed_weight.is_finite() { listed_weight } else { DEFAULT_WEIGHT };
--- a/crates/core/src/upstreams/slow_start.rs
+++ b/crates/core/src/upstreams/slow_start.rs
@@ -9,14 +9,14 @@
 /// Rate, per second, at which the capacity scale of an upstream in slow start is adjusted to its reported
 /// utilization. The rate is limited because load reports are one or two seconds old.
 const CAPACITY_ADJUSTMENT_PER_SECOND: f64 = 0.8;
-/// Largest number of requests that the budget accumulates.
+/// Maximum number of requests that the budget accumulates.
 const MAX_BUDGET_REQUESTS: f64 = 1.5;
 
 /// The state of slow start of one upstream.
 pub(crate) struct SlowStart {
-    /// When slow start began, or will begin at the end of an ejection; `None` once the upstream has warmed
-    /// up.
-    started_at: Option<Timestamp>,
+    /// Time at which slow start began, or will begin at the end of an ejection; `None` once the upstream has
+    /// warmed up.
+    began_at: Option<Timestamp>,
     /// Ratio of the capacity of the upstream to the capacity that the settings state for this point of slow
     /// start. It is learned from the reported utilization, may be above or below 1, and is reset to 1 after
     /// slow start.
@@ -27,45 +27,45 @@
 }
 
 impl SlowStart {
-    /// Creates the state of an upstream whose slow start began at `started_at`, or which has warmed up if
-    /// that is `None`. `budget` is the initial budget in requests.
-    pub(crate) fn new(started_at: Option<Timestamp>, budget: f64) -> Self {
-        Self { started_at, capacity_scale: 1.0, budget }
+    /// Creates the state of an upstream whose slow start began at `began_at`, or which has warmed up if that
+    /// is `None`. `budget` is the initial budget in requests.
+    pub(crate) fn new(began_at: Option<Timestamp>, budget: f64) -> Self {
+        Self { began_at, capacity_scale: 1.0, budget }
     }
 
     /// Begins slow start again after a restart of the upstream. Discards the learned capacity scale.
-    pub(crate) fn restart(&mut self, started_at: Timestamp, budget: f64) {
-        *self = Self::new(Some(started_at), budget);
+    pub(crate) fn restart(&mut self, began_at: Timestamp, budget: f64) {
+        *self = Self::new(Some(began_at), budget);
     }
 
     /// Schedules slow start to begin again at the end of an ejection. Keeps the learned capacity scale.
     pub(crate) fn restart_after_ejection(&mut self, ejected_until: Timestamp, budget: f64) {
-        self.started_at = Some(ejected_until);
+        self.began_at = Some(ejected_until);
         self.budget = budget;
     }
 
-    /// Returns when slow start began, or `None` if the upstream has warmed up.
-    pub(crate) fn started_at(&self) -> Option<Timestamp> {
-        self.started_at
+    /// Returns the time at which slow start began or will begin, or `None` if the upstream has warmed up.
+    pub(crate) fn began_at(&self) -> Option<Timestamp> {
+        self.began_at
     }
 
     /// Returns whether the upstream is warming up at `now`. The result follows from the time alone, so it is
     /// also valid outside the subset.
     pub(crate) fn is_warming_up(&self, now: Timestamp, settings: &Settings) -> bool {
         let duration = settings.slow_start_duration.as_secs_f64();
-        self.started_at.is_some_and(|started_at| now - started_at < duration)
+        self.began_at.is_some_and(|began_at| now - began_at < duration)
     }
 
     /// Returns whether the upstream was warming up at the latest update of its progress. The progress is
     /// updated only while the upstream is in the subset.
     pub(crate) fn is_active(&self) -> bool {
-        self.started_at.is_some()
+        self.began_at.is_some()
     }
 
     /// Adjusts the capacity scale so that the utilization of the upstream approaches the mean utilization.
-    /// The capacity that the settings state is the least that the upstream has, so the upstream may be used
-    /// as much as the others are. Without a reported utilization, the scale does not change. Resets the
-    /// scale to 1 if the upstream has warmed up.
+    /// The capacity that the settings state is the minimum that the upstream has, so the upstream may be used
+    /// as much as the others are. Without a reported utilization, the scale does not change. Resets the scale
+    /// to 1 if the upstream has warmed up.
     pub(crate) fn adjust_capacity_scale(
         &mut self,
         elapsed_seconds: f64,
@@ -92,11 +92,11 @@
     pub(crate) fn update_progress(&mut self, now: Timestamp, settings: &Settings) -> f64 {
         let floor = settings.slow_start_floor.min(1.0);
         let duration = settings.slow_start_duration.as_secs_f64().max(1e-6);
-        let progress = self.started_at.map_or(1.0, |started_at| {
-            let elapsed_share = ((now - started_at) / duration).clamp(0.0, 1.0);
+        let progress = self.began_at.map_or(1.0, |began_at| {
+            let elapsed_share = ((now - began_at) / duration).clamp(0.0, 1.0);
             floor + (1.0 - floor) * elapsed_share
         });
-        self.started_at = self.started_at.filter(|_| progress < 1.0);
+        self.began_at = self.began_at.filter(|_| progress < 1.0);
         progress
     }
 
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -1,9 +1,9 @@
 //! Subsetting: a balancer with little traffic sends it to only a part of the upstreams.
 //!
-//! If a balancer spread little traffic over all upstreams, it could neither keep a connection to each of
-//! them in use nor collect enough statistics of each. Balancers that share a shuffled order of the upstreams
-//! take adjacent parts of that order, so that all upstreams are in about the same number of subsets. The
-//! disadvantage is that a balancer has fewer upstreams to choose from.
+//! If a balancer spread little traffic over all upstreams, it could neither keep a connection to each of them
+//! in use nor collect enough statistics of each. The balancers are divided into rounds. Those of one round
+//! share a shuffled order of the upstreams and take adjacent parts of it, so that all upstreams are in about
+//! the same number of subsets. The disadvantage is that a balancer has fewer upstreams to choose from.
 
 use crate::action::Action;
 use crate::random::Random;
@@ -11,14 +11,14 @@
 use crate::time::Timestamp;
 use crate::upstreams::{UpstreamPosition, UpstreamSet};
 
-/// Least number of upstreams in a subset for each request per second that the balancer expects.
+/// Minimum number of upstreams in a subset for each request per second that the balancer expects.
 const UPSTREAMS_PER_REQUEST_PER_SECOND: f64 = 0.7;
-/// Lower limit of the least subset size that follows from the expected rate.
+/// Minimum subset size, whatever the expected rate is.
 const MIN_SUBSET_SIZE: f64 = 2.0;
-/// Upper limit of the least subset size that follows from the expected rate.
+/// Maximum to which the expected rate raises the minimum subset size.
 const MAX_SUBSET_SIZE: f64 = 1e6;
-/// Average number of subsets that each upstream should be in. The subset size that follows from it is
-/// rounded down, and is used if it exceeds the least subset size.
+/// Average number of subsets that each upstream should be in. The subset size that follows from it is rounded
+/// down, and is used if it exceeds the minimum subset size that follows from the expected rate.
 const TARGET_SUBSETS_PER_UPSTREAM: usize = 4;
 /// Numerator of a fraction of the ready upstreams. A subset of at least that fraction is extended to all of
 /// them. A slightly smaller subset would reduce the choice of upstreams and save little.
@@ -29,7 +29,7 @@
 /// seed combines the round with the id of the upstream.
 const ROUND_KEY_SHIFT_BITS: u32 = 48;
 
-/// Returns the least subset size of a balancer that expects `expected_rate` requests per second.
+/// Returns the minimum subset size of a balancer that expects `expected_rate` requests per second.
 pub(crate) fn min_subset_size(expected_rate: f64) -> usize {
     (UPSTREAMS_PER_REQUEST_PER_SECOND * expected_rate).clamp(MIN_SUBSET_SIZE, MAX_SUBSET_SIZE) as usize
 }
@@ -43,7 +43,7 @@
     /// Number of the round that the balancer belongs to. Each round has a shuffled order of its own, of
     /// which its balancers take disjoint parts.
     round: u64,
-    /// Index in the shuffled order at which the part of the balancer begins.
+    /// Index in the shuffled order at which this balancer's part begins.
     offset: usize,
 }
 
@@ -95,16 +95,16 @@
         random.shuffle(&mut self.subset);
     }
 
-    /// Returns when the first of the current ejections for all classes ends, or
-    /// [`Timestamp::DISTANT_FUTURE`] if there is none. The subset is selected again at that time, so that
-    /// the upstream can rejoin it.
+    /// Returns the time at which the first of the current ejections for all classes ends, or
+    /// [`Timestamp::DISTANT_FUTURE`] if there is none. The subset is selected again at that time, so that the
+    /// upstream can rejoin it.
     fn end_of_next_ejection(&self, now: Timestamp) -> Timestamp {
         let ends = self.upstreams.iter().map(|upstream| upstream.outlier.ejected_until());
         ends.filter(|end| *end > now).fold(Timestamp::DISTANT_FUTURE, Timestamp::min)
     }
 
-    /// Returns the positions of the ready upstreams in the order of selection, in which this balancer's part
-    /// of the shuffled order comes first.
+    /// Returns the positions of the ready upstreams in selection order, in which this balancer's part of the
+    /// shuffled order comes first.
     fn selection_order(&self, plan: &SubsetPlan) -> Vec<UpstreamPosition> {
         let positions = self.upstreams.positions();
         let mut order: Vec<UpstreamPosition> =
--- a/crates/core/src/upstreams/upstream.rs
+++ b/crates/core/src/upstreams/upstream.rs
@@ -30,7 +30,8 @@
     /// Overdue attempts that were cancelled or timed out and that the upstream may still be executing. The
     /// number decays exponentially, with the shortest latency objective as its time constant.
     pub(crate) abandoned_attempts: f64,
-    /// When an attempt was last sent to the upstream or ended; [`Timestamp::ZERO`] before the first attempt.
+    /// Time at which an attempt was last sent to the upstream or ended; [`Timestamp::ZERO`] before the first
+    /// attempt.
     pub(crate) last_used_at: Timestamp,
     pub(crate) reported_load: ReportedLoad,
     pub(crate) known_start: KnownStart,
@@ -42,7 +43,7 @@
     pub(crate) in_subset: bool,
     /// Whether the upstream is new, has restarted or was ejected for all classes, and still waits for a
     /// selection of the subset that finds it ready and not ejected for all classes. At that selection, it
-    /// joins the subset if it is in this balancer's part of the selection order.
+    /// joins the subset if it is in this balancer's part of the shuffled order that `subset.rs` describes.
     pub(crate) awaits_selection: bool,
 }
 
--- a/crates/core/src/upstreams/weights.rs
+++ b/crates/core/src/upstreams/weights.rs
@@ -17,13 +17,13 @@
 /// Number of assumed samples with a relative latency of 1, which keep the estimate close to 1 while there
 /// are few real samples.
 const PRIOR_SAMPLES: f64 = 4.0;
-/// Upper limit of the relative latency of a single sample.
+/// Maximum relative latency of a single sample.
 const MAX_RELATIVE_LATENCY_SAMPLE: f64 = 5.0;
-/// Lower limit of the relative latency that the capacity is divided by.
+/// Minimum relative latency that the capacity is divided by.
 const MIN_RELATIVE_LATENCY: f64 = 0.25;
-/// Upper limit of the relative latency that the capacity is divided by.
+/// Maximum relative latency that the capacity is divided by.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
-/// Lower limit of the relative capacity of an upstream, which keeps it above zero.
+/// Minimum relative capacity of an upstream, which keeps it above zero.
 const MIN_RELATIVE_CAPACITY: f64 = 1e-3;
 
 /// The state of one upstream in the rotation.
@@ -99,9 +99,9 @@
 }
 
 impl UpstreamSet {
-    /// Updates the weights of all members of the subset: adjusts the members in slow start to their reported
-    /// utilization, applies the decay of the statistics, and computes relative capacity and weight. Then
-    /// refills the request budgets of the members in slow start.
+    /// Updates the weights of all members of the subset: adjusts the capacity scales of the members in slow
+    /// start to their reported utilization, applies the decay of the statistics, and computes relative
+    /// capacity and weight. Then refills the request budgets of the members in slow start.
     pub(crate) fn update_weights(&mut self, inputs: &WeightInputs<'_>) {
         let summary = self.summarize(inputs);
         let sample_factor = (-inputs.elapsed_seconds / RELATIVE_LATENCY_DECAY_SECONDS).exp();
@@ -122,8 +122,8 @@
         self.refill_slow_start_budgets(inputs);
     }
 
-    /// Applies the decay up to `now` of the abandoned attempts at upstreams outside the subset. The ticks
-    /// apply it to members of the subset only.
+    /// Lets the numbers of abandoned attempts at upstreams outside the subset decay up to `now`. The ticks do
+    /// so for members of the subset only.
     pub(crate) fn decay_abandoned_outside_subset(&mut self, now: Timestamp, settings: &Settings) {
         let elapsed_seconds = now - self.outside_subset_decayed_at;
         self.outside_subset_decayed_at = now;
--- a/crates/core/src/watch_schedule.rs
+++ b/crates/core/src/watch_schedule.rs
@@ -3,27 +3,27 @@
 //!
 //! The balancer starts a watch when it starts and again after each failure. The wait doubles after each
 //! failed call and is jittered, so that many balancers do not call at the same moment when discovery
-//! recovers. The wait is limited: a call that fails late, the wait after it and the next call together end
-//! before a change counts as delivered to the balancer, see
+//! recovers. The wait is limited, so that a call that fails late, the wait after it and the next call
+//! together end before a change counts as delivered to the balancer; see
 //! [`Settings::poll_interval`](crate::Settings::poll_interval).
 
 use crate::random::Random;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Longest wait before the first call.
+/// Maximum wait before the first call.
 const MAX_FIRST_WAIT_SECONDS: f64 = 1.0;
-/// Longest wait before the first call, as a share of the poll interval.
+/// Maximum wait before the first call, as a share of the poll interval.
 const MAX_FIRST_WAIT_SHARE: f64 = 0.1;
-/// Longest wait after a failed call.
+/// Maximum wait after a failed call.
 const MAX_RETRY_WAIT_SECONDS: f64 = 3.0;
-/// Longest wait after a failed call, as a share of the poll interval.
+/// Maximum wait after a failed call, as a share of the poll interval.
 const MAX_RETRY_WAIT_SHARE: f64 = 0.8;
 /// Maximum number of times that the wait after failed calls doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// Shortest wait before a call without a response is repeated, as a share of the poll interval.
+/// Minimum wait before a call without a response is repeated, as a share of the poll interval.
 const RESPONSE_TIMEOUT_SHARE: f64 = 0.4;
-/// Largest jitter that is added to [`RESPONSE_TIMEOUT_SHARE`].
+/// Maximum jitter that is added to [`RESPONSE_TIMEOUT_SHARE`].
 const RESPONSE_TIMEOUT_JITTER: f64 = 0.2;
 
 /// Schedule of one balancer's calls to discovery.
@@ -42,7 +42,7 @@
         self.next_call_at = now + max_wait_seconds * random.fraction();
     }
 
-    /// Records that a call failed or that the watch broke, and schedules the next call.
+    /// Records that a call failed or that the watch ended, and schedules the next call.
     pub(crate) fn record_failure(&mut self, now: Timestamp, poll_interval: Duration, random: &mut Random) {
         let max_wait_seconds =
             (poll_interval.as_secs_f64() * MAX_RETRY_WAIT_SHARE).min(MAX_RETRY_WAIT_SECONDS);
