--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 const US_PER_MS: f64 = 1e3;
-/// Larger values of `limits.try_limit` are reduced to this one, since the core counts attempts in a `u8`.
+/// Maximum of `limits.try_limit`. Larger values are reduced to it, because the core counts attempts in a
+/// `u8`.
 const MAX_ATTEMPTS_CAP: u32 = 250;
 
 impl TryFrom<SettingsObject> for Site {
@@ -52,7 +53,7 @@
             tenants: object.tenants.iter().map(Tenant::from).collect(),
             over_quota_weight: object.over_quota_weight.unwrap_or(default.over_quota_weight),
             weight_by_work: object.priority_weight_by.as_deref() == Some("work"),
-            // With "subscribe" the balancer itself starts each watch of the endpoint list.
+            // With "subscribe", the balancer itself starts each watch of the endpoint list.
             starts_watches: object.discovery.as_deref() == Some("subscribe"),
             poll_interval: duration_or(guarantees.poll_interval_ms, default.poll_interval),
             slow_start_floor: guarantees.slow_start_floor.unwrap_or(default.slow_start_floor),
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -14,8 +14,8 @@
     pub warnings: Vec<SettingsWarning>,
 }
 
-/// The names of request classes, tenants, zones and hardware models. The position of a name in its list is
-/// the id by which `balancer_core` refers to it.
+/// The names of request classes, tenants, zones and hardware models. The index of a name in its list is the
+/// id by which `balancer_core` refers to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteNames {
     /// Names of the request classes, in the order of [`Settings::classes`]. A class without a name has an
--- a/crates/settings/src/wire_format.rs
+++ b/crates/settings/src/wire_format.rs
@@ -35,7 +35,7 @@
     pub priority_weight_by: Option<String>,
 }
 
-/// The `goal` object, without the keys that the balancer does not use.
+/// The `goal` object, without the keys that are not converted to settings.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct GoalObject {
@@ -133,7 +133,8 @@
     pub hedging: Option<bool>,
 }
 
-/// The `prices` object: the costs of actions, in the units of [`balancer_core::Prices`].
+/// The `prices` object: the prices of actions and their consequences, in the units of
+/// [`balancer_core::Prices`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PricesObject {
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -3,10 +3,10 @@
 use crate::error::WireProblem;
 use balancer_core::{Availability, Outcome, UpdateScope};
 
-/// The highest number that an endpoint list can have.
+/// The maximum number that an endpoint list can have. Numbers start at 0.
 pub const MAX_LIST_NUMBER: u32 = 15;
 
-/// Flag bit of a request: its work hint is valid.
+/// Flag bit of a request: its work hint, which states the expected work, is valid.
 pub const WORK_HINT_FLAG: u8 = 1;
 /// Flag bit of a request: it is a retry by the client.
 pub const CLIENT_RETRY_FLAG: u8 = 2;
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -112,7 +112,7 @@
         self.frame.extend(ms.to_be_bytes());
     }
 
-    /// Appends a text after a length field of two bytes, truncated to the longest length that the field can
+    /// Appends a text after a length field of two bytes, truncated to the maximum length that the field can
     /// state.
     fn push_text(&mut self, text: &str) {
         let length = text.len().min(usize::from(u16::MAX));
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -25,7 +25,7 @@
     Io(#[from] io::Error),
 }
 
-/// A problem with a batch and its position.
+/// A problem with a batch and the offset at which it was found.
 #[derive(Debug, Error)]
 #[error("byte {offset}: {problem}")]
 pub struct WireError {
@@ -35,7 +35,7 @@
     pub problem: WireProblem,
 }
 
-/// The problems for which a batch is rejected.
+/// The reason why a batch is rejected.
 #[derive(Debug, Error)]
 pub enum WireProblem {
     /// The length field is less than the size of the clock or more than the size limit.
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -6,9 +6,9 @@
 
 /// Size of the length field. The length that it states does not include the field itself.
 pub const LENGTH_BYTES: usize = 4;
-/// Size of the clock at the start of every batch, and therefore the smallest valid length.
+/// Size of the clock at the start of every batch, and therefore the minimum of the length field.
 const CLOCK_BYTES: usize = 8;
-/// The largest valid length. Longer frames are rejected as malformed.
+/// Maximum of the length field. Longer frames are rejected as malformed.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 
 /// A reader that splits its input into frames. All frames share one buffer.
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -14,7 +14,7 @@
     pub records: Vec<Record>,
 }
 
-/// A record and its position in the frame, for error messages.
+/// A record and its offset in the frame, which error messages state.
 #[derive(Debug, PartialEq)]
 pub struct Record {
     /// Offset of the record's first byte from the start of the frame.
@@ -68,7 +68,7 @@
 pub enum BalancerEvent {
     /// An update of the endpoint list has arrived, or a call to discovery or a watch has failed.
     EndpointUpdate {
-        /// How complete the update is.
+        /// Extent of the update.
         scope: UpdateScope,
         /// The number of the list with the entries of the update. Ignored if the scope is `Failed`.
         list: u32,
@@ -79,20 +79,20 @@
         id: RequestId,
         /// The class of the request.
         class: ClassId,
-        /// The tenant that sent it.
+        /// The tenant that sent the request.
         tenant: TenantId,
-        /// How long the client is still going to wait.
+        /// Time until the client's deadline.
         time_left: Duration,
-        /// Expected work on a standard core in milliseconds; `None` if it is unknown.
+        /// Expected work of the request in milliseconds on a standard core; `None` if unknown.
         expected_work_ms: Option<f64>,
-        /// Whether the client marks the request as a retry of its own.
+        /// Whether the client marked the request as a retry of its own.
         is_client_retry: bool,
     },
     /// A streamed response has started.
     StreamStarted {
         /// The request.
         id: RequestId,
-        /// The attempt that streams.
+        /// The attempt whose response is streamed.
         attempt: AttemptIndex,
         /// Time since the attempt was sent.
         latency: Duration,
@@ -103,14 +103,14 @@
         id: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
-        /// Whether the request has its final response.
+        /// Whether the request has its final response, from this attempt or an earlier one.
         request_finished: bool,
-        /// How the attempt ended.
+        /// The result of the attempt.
         result: UpstreamResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// How the health check ended.
+        /// The result of the health check.
         result: UpstreamResult,
     },
     /// The client of a request has disconnected.
@@ -125,7 +125,7 @@
     },
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check at an upstream.
 #[derive(Debug, PartialEq)]
 pub struct UpstreamResult {
     /// The upstream that the attempt or health check was sent to.
