--- a/crates/core/src/upstreams/process_start.rs
+++ b/crates/core/src/upstreams/process_start.rs
@@ -1,4 +1,4 @@
-//! Detects in endpoint lists that the process of an upstream has started, which begins slow start.
+//! Detects in endpoint lists that the process of an upstream has started, upon which its slow start begins.
 //!
 //! An endpoint list may state the time of a process start by a wall clock, which can be stepped by seconds or
 //! hours at any time. Such a start is therefore detected by an incarnation that differs from the one listed
@@ -70,8 +70,8 @@
     }
 
     /// Records the process start that an entry states for a known upstream. Returns the time at which slow
-    /// start begins again if the process has restarted less than the duration of slow start ago, and `None`
-    /// otherwise.
+    /// start begins again; `None` if the process has not restarted, or so long ago that slow start would be
+    /// over.
     pub(crate) fn detect_recent_restart(
         &mut self,
         now: Timestamp,
