--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -18,16 +18,16 @@
 /// File descriptors reserved for the standard streams, the poller, the listening socket and calls to
 /// discovery, of which about ten may overlap.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The largest number of file descriptors that the proxy uses. It is the default value of `fs.nr_open`, the
-/// most descriptors that Linux lets one process have. An arbitrary larger number could exceed the maximum of
-/// the semaphores that limit connections.
+/// Maximum number of file descriptors that the proxy uses. It is the default value of `fs.nr_open`, the Linux
+/// limit on the descriptors of one process. An arbitrary larger number could exceed the maximum number of
+/// permits of the semaphores that limit connections.
 const MAX_DESCRIPTORS: usize = 1 << 20;
 /// The fraction of the unreserved file descriptors that connections to upstreams may use. Client connections
 /// get the rest.
 const UPSTREAM_SOCKET_FRACTION: f64 = 0.45;
-/// Buffered responses may use the memory limit divided by this number. The memory in use may be twice that
-/// for a moment, because reading a response briefly holds two copies of it.
-const BUFFERED_RESPONSE_MEMORY_DIVISOR: usize = 5;
+/// The budget for large response bodies is the memory limit divided by this number. The memory in use may be
+/// twice that for a moment, because reading a response briefly holds two copies of it.
+const LARGE_BODY_BUDGET_DIVISOR: usize = 5;
 const BYTES_PER_MEBIBYTE: usize = 1024 * 1024;
 
 /// The configuration of a proxy.
@@ -112,7 +112,7 @@
 pub struct Limits {
     /// CPU cores, possibly a fraction. The value is only logged.
     pub cores: f64,
-    /// Memory in MiB. Limits the size of buffered responses.
+    /// Memory in MiB. Determines the budget for large response bodies.
     pub memory_mb: u64,
     /// File descriptors. The proxy uses at most [`MAX_DESCRIPTORS`].
     pub sockets: usize,
@@ -167,9 +167,9 @@
         self.limits.sockets - RESERVED_DESCRIPTORS - self.max_upstream_connections()
     }
 
-    /// Returns the number of bytes that all large responses together may occupy while they are buffered.
-    pub fn max_buffered_response_bytes(&self) -> usize {
+    /// Returns the number of bytes that all large response bodies together may occupy.
+    pub fn large_body_budget_bytes(&self) -> usize {
         let memory_bytes = (self.limits.memory_mb as usize).saturating_mul(BYTES_PER_MEBIBYTE);
-        memory_bytes / BUFFERED_RESPONSE_MEMORY_DIVISOR
+        memory_bytes / LARGE_BODY_BUDGET_DIVISOR
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,5 +1,4 @@
-//! Starts a proxy: binds its address, waits for the first endpoint list and begins to accept client
-//! connections.
+//! Starts a proxy: binds its address, waits for the first endpoint list and then accepts client connections.
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::client::{DiscoveryClient, FirstListProgress};
@@ -23,10 +22,10 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long a new process waits for the first complete message from discovery before it serves with the
-/// cached endpoint list. A long list takes time to arrive.
+/// How long a new process waits for discovery to send the first complete endpoint list, or changes to the
+/// cached one, before it serves with the cached list. A long list takes time to arrive.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a new process waits for the first list while nothing arrives. The agent of discovery runs on this
+/// How long a new process waits for the first list while nothing arrives. The discovery agent runs on this
 /// machine, so silence means that the agent is down.
 const FIRST_LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How many times the proxy tries to bind its address. Another process that occupies the address may be about
@@ -106,7 +105,8 @@
     Ok(RunningProxy { sigterm, driver, phase, accept_loop })
 }
 
-/// Logs the warnings that the author of the settings should know about.
+/// Logs the warnings about the settings, including one for each class whose deadline is too short for any
+/// response.
 fn log_settings_warnings(site: &Site) {
     for warning in &site.warnings {
         tracing::warn!("settings: {warning}");
@@ -125,7 +125,7 @@
     let upstreams = Upstreams::new(
         settings,
         config.max_upstream_connections(),
-        config.max_buffered_response_bytes(),
+        config.large_body_budget_bytes(),
         Rc::clone(metrics),
     );
     let discovery = DiscoveryClient::new(config.discovery, &config.site, Rc::clone(metrics));
@@ -160,9 +160,10 @@
     Ok(socket)
 }
 
-/// Waits for the first complete message from discovery, as long as its bytes keep arriving. Not called if the
-/// balancer decides when to start a watch (`Settings::starts_watches`), because discovery may then be
-/// overloaded by all the processes that start at the same time.
+/// Waits until discovery has sent the first complete endpoint list, or changes to the cached one, as long as
+/// its bytes keep arriving. Not called if the balancer decides when to start a watch
+/// (`Settings::starts_watches`), because discovery may then be overloaded by all the processes that start at
+/// the same time.
 async fn wait_for_first_list(driver: &Driver) {
     let mut progress = driver.first_list_progress();
     let first_list = async {
--- a/crates/proxy/src/upstream/checkout.rs
+++ b/crates/proxy/src/upstream/checkout.rs
@@ -10,8 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Fraction of the connect timeout that a connect must have had for its timeout to count as a failure of the
-/// upstream. The wait for a slot may have taken the rest.
+/// A connect that times out counts as a failure of the upstream only if at least this fraction of the connect
+/// timeout was left for it. The wait for a slot may have taken the rest.
 const MIN_CONNECT_TIME_FRACTION: f64 = 0.8;
 
 /// A connection that one attempt uses.
@@ -44,7 +44,7 @@
             match timeout_at(connect_deadline, self.pool.acquire_slot(id)).await {
                 Ok(Some(slot)) => break slot,
                 Ok(None) => {}
-                // A lack of slots or of time in this process is not a failure of the upstream.
+                // A lack of slots or of time in the proxy is not a failure of the upstream.
                 Err(_) => return Err(Outcome::NotSent),
             }
         };
--- a/crates/proxy/src/upstream/checkout/tests.rs
+++ b/crates/proxy/src/upstream/checkout/tests.rs
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// Number of repetitions in tests for races between this process and the kernel.
+/// Number of repetitions in tests for races between the proxy and the kernel.
 const RACE_REPETITIONS: usize = 20;
 
 /// Starts an attempt that uses the only connection and two attempts that wait for it, and cancels the first
@@ -73,7 +73,7 @@
     assert_eq!(result.expect("the attempt does not panic").outcome, Outcome::Ok);
 }
 
-/// If the process of an upstream is gone, this process may never notice that a connection to it has ended.
+/// If the process of an upstream is gone, the proxy may never notice that a connection to it has ended.
 #[tokio::test(flavor = "local")]
 async fn a_connection_is_not_kept_if_the_upstream_restarted_while_it_was_in_use() {
     let mut fixture = Fixture::with_max_connections(8).await;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -31,8 +31,8 @@
 }
 
 impl Connection {
-    /// Connects to `peer`. `slot` is dropped after the file descriptor of the connection is closed. Fails
-    /// with the error of the connect call or of the call that sets `TCP_NODELAY`.
+    /// Connects to `peer`. The connection holds `slot` until its file descriptor is closed. Fails with the
+    /// error of the connect call or of the call that sets `TCP_NODELAY`.
     pub async fn open<S: Unpin + 'static>(peer: SocketAddr, slot: S) -> io::Result<Self> {
         let stream = socket_io::connect(peer).await?;
         stream.set_nodelay(true)?;
@@ -58,7 +58,7 @@
         self.peer
     }
 
-    /// Returns whether this process has already noticed the end of the connection.
+    /// Returns whether the proxy has already noticed the end of the connection.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/crates/proxy/src/upstream/counting_stream.rs
+++ b/crates/proxy/src/upstream/counting_stream.rs
@@ -42,10 +42,10 @@
 
     /// Fails if a stale check is due and the peer has sent bytes or closed the connection.
     ///
-    /// Peeks at the socket, because this process may not have polled it since the peer did so. Bytes that
-    /// follow an earlier response must not be taken for the response to the next request. A request written
-    /// to a closed connection would end as a reset, after which a request that is not safe to repeat cannot
-    /// be retried.
+    /// Peeks at the socket, because the proxy may not have polled it since the peer did so. Bytes that follow
+    /// an earlier response must not be taken for the response to the next request. A request written to a
+    /// closed connection would end as a reset, after which a request that is not safe to repeat cannot be
+    /// retried.
     fn run_stale_check_if_due(&self) -> io::Result<()> {
         if !self.stale_check_due.replace(false) {
             return Ok(());
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -64,7 +64,7 @@
             Self::MalformedResponse(_) | Self::ConflictingLengths | Self::BodyTooLong { .. } => {
                 Outcome::Error
             }
-            // The upstream responded correctly. This process cancels the attempt because its memory budget is
+            // The upstream responded correctly. The proxy ends the attempt because its memory budget is
             // exhausted.
             Self::BodyBudgetExhausted { .. } => Outcome::Cancelled,
         }
--- a/crates/proxy/src/upstream/exchange/tests.rs
+++ b/crates/proxy/src/upstream/exchange/tests.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The budget for large bodies belongs to this process. An upstream that responds correctly must not be
+/// The budget for large bodies belongs to the proxy. An upstream that responds correctly must not be
 /// ejected because the budget is exhausted.
 #[tokio::test(flavor = "local")]
 async fn a_large_body_that_exceeds_the_budget_is_not_an_upstream_failure() {
--- a/crates/proxy/src/upstream/interruption.rs
+++ b/crates/proxy/src/upstream/interruption.rs
@@ -1,5 +1,6 @@
 //! The signals that interrupt an attempt before its deadline. The attempt is abandoned when nobody waits for
-//! its response any more, and aborted when the process shuts down.
+//! its response any more, and aborted when the process shuts down. An attempt that the balancer cancels gets
+//! no signal; the driver stops its task instead.
 
 use std::future::pending;
 use tokio::sync::watch;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -57,8 +57,8 @@
         self.became_idle.notify_waiters();
     }
 
-    /// Takes the connection to an upstream that became idle most recently. Skips and closes connections
-    /// that have expired or are known to be closed. Returns `None` if no connection remains.
+    /// Takes an idle connection to an upstream, preferably the most recently used one. Skips and closes
+    /// connections that have expired or are known to be closed. Returns `None` if no connection remains.
     pub fn take(&self, upstream: UpstreamId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(most_recent) = idle.pop_most_recent(upstream) {
--- a/crates/proxy/src/upstream/pool/idle_connections.rs
+++ b/crates/proxy/src/upstream/pool/idle_connections.rs
@@ -40,13 +40,13 @@
         self.sequence_numbers_by_upstream.contains_key(&upstream)
     }
 
-    /// Removes the connection to an upstream that became idle most recently. Returns `None` if there is none.
+    /// Removes and returns the most recently used connection to an upstream. Returns `None` if there is none.
     pub fn pop_most_recent(&mut self, upstream: UpstreamId) -> Option<IdleConnection> {
         let most_recent = *self.sequence_numbers_by_upstream.get(&upstream)?.back()?;
         self.remove(most_recent)
     }
 
-    /// Removes the connection that has been idle longest, among the connections to all upstreams. Returns
+    /// Removes and returns the connection that has been idle longest, whichever upstream it leads to. Returns
     /// `None` if there is none.
     pub fn pop_longest_idle(&mut self) -> Option<IdleConnection> {
         let longest_idle = *self.by_sequence_number.first_key_value()?.0;
--- a/crates/proxy/src/upstream/set.rs
+++ b/crates/proxy/src/upstream/set.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Fraction of the upstreams' idle timeout after which this process closes an idle connection. This process
-/// has to close it before the upstream does: a request that is sent while the upstream closes the connection
-/// ends as a reset, and cannot be retried afterwards unless it is safe to repeat.
+/// Fraction of the upstreams' idle timeout after which the proxy closes an idle connection. The proxy has to
+/// close it before the upstream does: a request that is sent while the upstream closes the connection ends as
+/// a reset, and cannot be retried afterwards unless it is safe to repeat.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// The part of an endpoint list entry that concerns the connections to an upstream.
@@ -24,7 +24,7 @@
     /// Whether the upstream takes requests, drains or has been removed.
     pub availability: Availability,
     /// The start time of the upstream's process in milliseconds of Unix time, as stated in the list. 0 if the
-    /// process started long ago.
+    /// process started long ago or the list states no time.
     pub started_at_unix_ms: u64,
 }
 
@@ -61,18 +61,18 @@
 
 impl Upstreams {
     /// Creates an empty set. `max_connections` limits the open connections to all upstreams together.
-    /// `large_body_bytes` limits the memory for the large response bodies of all upstreams together.
+    /// `large_body_budget_bytes` limits the memory for the large response bodies of all upstreams together.
     pub fn new(
         settings: &Settings,
         max_connections: usize,
-        large_body_bytes: usize,
+        large_body_budget_bytes: usize,
         metrics: Rc<Metrics>,
     ) -> Self {
         let max_idle_time = settings.connection_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         Self {
             known: RefCell::default(),
             pool: ConnectionPool::new(max_connections, max_idle_time),
-            large_body_budget: LargeBodyBudget::new(large_body_bytes),
+            large_body_budget: LargeBodyBudget::new(large_body_budget_bytes),
             connect_timeout: settings.connect_timeout,
             load_report_reader: LoadReportReader::new(settings),
             metrics,
