--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -1,4 +1,4 @@
-//! The state of a client connection, from which its timeouts and its eviction priority follow.
+//! Tracks the state of a client connection, from which its timeouts and its eviction priority follow.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -18,14 +18,14 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Interval at which the timeouts are checked. A new connection is checked only when its timeout expires.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A request that is still incomplete after this time is stalled. The time has the same start as
+/// A request that is still incomplete after this time is stalled. The time counts from the same moment as
 /// [`READ_TIMEOUT`].
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
-/// A connection that has been idle for longer than this is evicted before one that has recently begun a
+/// A connection that has been idle for longer than this is evicted before one that has recently started a
 /// request.
 const LONG_IDLE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// The stage of request processing that a client connection is in.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
     /// No valid request has arrived yet.
@@ -43,27 +43,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionPriority {
     rank: EvictionRank,
-    /// When the connection was accepted, began its request or became idle. Within a rank, the connection with
-    /// the earliest time is evicted first.
+    /// When the connection was accepted, started its request or became idle. Within a rank, the connection
+    /// with the earliest time is evicted first.
     since: Instant,
 }
 
 /// The ranks of connections that may be evicted, in the order of their eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// The connection was accepted, or its request began, more than [`STALL_THRESHOLD`] ago, and no complete
-    /// and valid request has arrived since.
+    /// The connection was accepted, or its request started, more than [`STALL_THRESHOLD`] ago, and no
+    /// complete and valid request has arrived since.
     Stalled,
     /// Nothing has arrived since the last response, which was ready more than [`LONG_IDLE_THRESHOLD`] ago.
     LongIdle,
-    /// The connection was accepted, or its request began, at most [`STALL_THRESHOLD`] ago, and no complete
-    /// and valid request has arrived since.
+    /// The connection was accepted, or its request started, at most [`STALL_THRESHOLD`] ago, and no
+    /// complete and valid request has arrived since.
     Reading,
     /// Nothing has arrived since the last response, which was ready at most [`LONG_IDLE_THRESHOLD`] ago.
     RecentlyIdle,
 }
 
-/// The state of one client connection, with the times on which its timeouts and its eviction depend. It is
+/// One client connection: its state, and the times on which its timeouts and its eviction depend. It is
 /// shared by the connection's socket, its requests and the listener.
 pub struct Client {
     state: Cell<ClientState>,
@@ -82,7 +82,7 @@
 }
 
 impl Client {
-    /// Creates the state of a connection that has just been accepted.
+    /// Creates a client whose connection has just been accepted.
     pub fn new() -> Self {
         Self {
             state: Cell::new(ClientState::New),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the stage of request processing that the connection is in.
+    /// Returns the current state of the connection.
     pub fn state(&self) -> ClientState {
         self.state.get()
     }
@@ -208,7 +208,7 @@
             if timeout_at.is_some_and(|timeout_at| timeout_at <= now) {
                 return;
             }
-            // A request may begin at any time and change the timeout, so it is computed again at each check.
+            // A request may start at any time and change the timeout, so it is computed again at each check.
             let next_check = now + TIMEOUT_CHECK_INTERVAL;
             let wake_at = match timeout_at {
                 Some(timeout_at) if self.state.get() == ClientState::New => timeout_at,
--- a/crates/proxy/src/downstream/client/tests.rs
+++ b/crates/proxy/src/downstream/client/tests.rs
@@ -12,7 +12,7 @@
     client
 }
 
-/// Returns a client that has received a response and has begun to send its next request.
+/// Returns a client that has received a response and has started to send its next request.
 fn client_with_started_request() -> Client {
     let client = idle_client();
     client.on_bytes_received();
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -23,7 +23,7 @@
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// No more bytes are read ahead once this many are buffered. Equals the maximum length of a request body.
 const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_BODY_BYTES;
-/// The most bytes that one call reads ahead.
+/// Maximum number of bytes that one read adds to the read-ahead buffer.
 const READ_AHEAD_CHUNK_BYTES: usize = 4096;
 
 /// A client's socket, with the bytes that were read ahead from it and the count of its `Content-Length`
@@ -37,7 +37,7 @@
 }
 
 impl ClientSocket {
-    /// Returns the socket of the connection whose state is `client`.
+    /// Returns the socket of the connection `client`.
     pub fn new(stream: TcpStream, client: Rc<Client>) -> Self {
         Self {
             stream,
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,5 @@
-//! Serves a client connection until the client closes it, it fails, is evicted, times out or is drained.
+//! Serves a client connection until the client closes it, or until it fails, is evicted, times out or is
+//! drained.
 
 use crate::downstream::client::{Client, ClientState};
 use crate::downstream::client_stream::{ClientSocket, ClientStream};
--- a/crates/proxy/src/downstream/content_length.rs
+++ b/crates/proxy/src/downstream/content_length.rs
@@ -21,7 +21,8 @@
 ///
 /// hyper removes `Content-Length` from a head that also has `Transfer-Encoding`, in either order. It has done
 /// so if more of these lines were received than hyper has passed on as headers. Lines of a request body that
-/// begin with `content-length` are counted as well, so in doubt a hidden header is reported.
+/// begin with `content-length` are counted as well, so a hidden header may be reported although there is
+/// none.
 pub struct ContentLengthCounter {
     position: LinePosition,
     /// Lines received that begin with the name.
--- a/crates/proxy/src/downstream/correlation_ids.rs
+++ b/crates/proxy/src/downstream/correlation_ids.rs
@@ -12,7 +12,7 @@
 /// standard library's randomly keyed hasher.
 type IdSet = Rc<RefCell<HashSet<HeaderValue>>>;
 
-/// The correlation ids of the requests in flight. No two of these requests may have the same id.
+/// The reserved correlation ids. No two requests without a final response may have the same id.
 #[derive(Default)]
 pub struct CorrelationIds {
     in_flight: IdSet,
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -21,7 +21,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How long an accepted connection waits for a slot before another connection is evicted.
+/// Time between two tries to evict a connection while an accepted one waits for a slot.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after a failed accept. While the process has no file descriptors left, the next accept would fail at
 /// once.
@@ -31,7 +31,7 @@
 pub struct Listener {
     handler: Rc<RequestHandler>,
     phase: watch::Receiver<LifecyclePhase>,
-    /// The states of the connections that are being served, by an id that is unique in this listener.
+    /// The connections that are being served, by an id that is unique in this listener.
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
     next_client_id: Cell<u64>,
     log: RateLimitedLog,
@@ -91,8 +91,8 @@
         let _ = slots.acquire_many(max_connections as u32).await;
     }
 
-    /// Waits for a free slot. Tries to evict a connection every [`EVICTION_RETRY_INTERVAL`], because one that
-    /// must not be evicted now may be idle later.
+    /// Waits for a free slot; each connection that is being served holds one. Tries to evict a connection
+    /// every [`EVICTION_RETRY_INTERVAL`], because one that must not be evicted now may be idle later.
     async fn acquire_slot(&self, slots: &Arc<Semaphore>) -> OwnedSemaphorePermit {
         loop {
             if let Ok(slot) = Arc::clone(slots).try_acquire_owned() {
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,5 +1,5 @@
-//! The client side of the proxy: accepts connections, reads and validates requests, and writes the final
-//! responses.
+//! The downstream side of the proxy: accepts client connections, reads and validates requests, and writes the
+//! final responses.
 
 mod client;
 mod client_stream;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -20,18 +20,18 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest accepted request head, which consists of the request line, the headers and the empty line
-/// after them.
+/// Maximum length of a request head, which consists of the request line, the headers and the empty line after
+/// them.
 pub const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
-/// The longest accepted request body.
+/// Maximum length of a request body.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Subtracted from a client's remaining time. Covers the transfer of the request and of the response, and the
-/// resolution of the timers.
+/// Subtracted from the time that a client has left. Covers the transfer of the request and of the response,
+/// and the resolution of the timers.
 const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(4);
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
-/// Returns whether requests of a class with this deadline can be served at all. They can if time remains
-/// after the allowance for their transfer.
+/// Returns whether requests of a class with this deadline can be served at all. They can if the deadline is
+/// longer than the allowance for their transfer.
 pub fn can_be_served(deadline: Duration) -> bool {
     deadline > TRANSFER_ALLOWANCE
 }
@@ -56,8 +56,8 @@
     /// The method differs from the only one that the request class accepts.
     #[error("the class has another method")]
     MethodNotAllowed,
-    /// A header that may occur only once is repeated. The upstream might use another of its values than the
-    /// proxy.
+    /// A header that may occur only once is repeated. The proxy and the upstream might disagree on which of its
+    /// values counts.
     #[error("a header twice that may stand once")]
     RepeatedHeader,
     /// `X-Correlation-Id` is missing, empty or not printable ASCII text.
@@ -151,13 +151,13 @@
 }
 
 impl RequestHead {
-    /// Returns the request for the driver. Has to be called as soon as the body is complete, because the
-    /// client's remaining time counts from this call.
+    /// Returns the request for the driver. Has to be called as soon as the body is complete, because the time
+    /// that the client has left counts from this call.
     fn into_incoming(self, body: Bytes) -> IncomingRequest {
         let mut headers = self.parts.headers;
         headers::strip_hop_by_hop(&mut headers);
         let target = self.parts.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
-        // The remaining time counts from the last byte of the request, so a slow upload does not shorten it.
+        // The time left counts from the last byte of the request, so a slow upload does not shorten it.
         let deadline = Instant::now() + self.time_left.saturating_sub(TRANSFER_ALLOWANCE);
         IncomingRequest {
             class: self.class,
