--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -12,7 +12,7 @@
 }
 
 impl Backoff {
-    /// Creates a duration that begins at `min` and grows up to `max`.
+    /// Creates a duration that starts at `min` and grows up to `max`.
     pub const fn new(min: Duration, max: Duration) -> Self {
         Self { min, max, current: min }
     }
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -20,8 +20,8 @@
 
 /// Path at which discovery serves the endpoint list.
 pub(super) const LIST_PATH: &str = "/registry/instances";
-/// Size limit of an endpoint list. A longer response to a fetch is an error, and so is a list on a watch that
-/// is still incomplete after this many bytes.
+/// Maximum length of an endpoint list. A longer response to a fetch is an error, and so is a list on a watch
+/// that is still incomplete after this many bytes.
 pub(super) const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 /// How much of the first endpoint list has arrived over a watch since the process started.
@@ -181,7 +181,7 @@
 async fn receive_body(body: Incoming) -> Result<BytesMut, DiscoveryError> {
     let mut body = Limited::new(body, MAX_LIST_BYTES);
     let mut received = BytesMut::new();
-    let mut transfer = Transfer::begin(0);
+    let mut transfer = Transfer::start(0);
     loop {
         let frame = timeout_at(transfer.deadline(), body.frame()).await;
         let Some(frame) = frame.map_err(|_| DiscoveryError::BodyTimeout)? else { return Ok(received) };
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -24,8 +24,8 @@
 /// An entry of an endpoint list: one upstream and what the list states about it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Hash of the uid that discovery gives the upstream, and of nothing else. It is the same at every
-    /// balancer and does not depend on the address.
+    /// Hash of the uid that discovery gives the upstream, and of nothing else. It is the same in every proxy
+    /// and does not depend on the address.
     pub id: UpstreamId,
     /// Zone of the upstream; [`UNKNOWN_ZONE`] if the entry states none, or one that the settings do not name.
     pub zone: ZoneId,
--- a/crates/proxy/src/discovery/transfer.rs
+++ b/crates/proxy/src/discovery/transfer.rs
@@ -16,7 +16,7 @@
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Minimum mean rate of a list, which may take [`SILENCE_TIMEOUT`] longer than it would at this rate. The
 /// rate is about half of that at which a list of 3,200 upstreams (480 KB) arrives in 8 s. A list that
-/// trickles in is given up hardly later than a silent one.
+/// trickles in is given up only slightly later than a silent one.
 const MIN_BYTES_PER_SECOND: f64 = 32.0 * 1024.0;
 /// Maximum time for one list, so that a list without an end does not hide later changes forever.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(10);
@@ -24,7 +24,7 @@
 /// The timing of one list while it arrives.
 #[derive(Clone, Copy)]
 pub(super) struct Transfer {
-    began_at: Instant,
+    started_at: Instant,
     last_bytes_at: Instant,
     received_bytes: usize,
 }
@@ -32,9 +32,9 @@
 impl Transfer {
     /// Starts timing a list of which the first `received_bytes` bytes have just arrived, or nothing but the
     /// head of the response (0 bytes).
-    pub(super) fn begin(received_bytes: usize) -> Self {
+    pub(super) fn start(received_bytes: usize) -> Self {
         let now = Instant::now();
-        Self { began_at: now, last_bytes_at: now, received_bytes }
+        Self { started_at: now, last_bytes_at: now, received_bytes }
     }
 
     /// Records that `bytes` more bytes have just arrived.
@@ -46,8 +46,8 @@
     /// Returns the time at which the list is given up unless more of it arrives.
     pub(super) fn deadline(&self) -> Instant {
         let time_at_min_rate = Duration::from_secs_f64(self.received_bytes as f64 / MIN_BYTES_PER_SECOND);
-        let rate_deadline = self.began_at + SILENCE_TIMEOUT + time_at_min_rate;
+        let rate_deadline = self.started_at + SILENCE_TIMEOUT + time_at_min_rate;
         let silence_deadline = self.last_bytes_at + SILENCE_TIMEOUT;
-        silence_deadline.min(rate_deadline).min(self.began_at + MAX_TRANSFER_TIME)
+        silence_deadline.min(rate_deadline).min(self.started_at + MAX_TRANSFER_TIME)
     }
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -50,7 +50,7 @@
             if messages.is_within_object() {
                 match &mut transfer {
                     Some(transfer) => transfer.record(data.len()),
-                    None => transfer = Some(Transfer::begin(data.len())),
+                    None => transfer = Some(Transfer::start(data.len())),
                 }
             }
         }
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -62,7 +62,7 @@
         request.add_attempt(Attempt { upstream, started_at, task: task.abort_handle(), is_in_flight: true });
     }
 
-    /// Aborts the task of an attempt and queues the end of the attempt behind the events that have already
+    /// Cancels an attempt in flight: stops its task and queues its end behind the events that have already
     /// happened.
     fn cancel_attempt(&self, state: &mut DriverState, id: RequestId, index: AttemptIndex) {
         let Some(request) = state.requests.get_mut(id) else { return };
--- a/crates/proxy/src/driver/endpoint_watch.rs
+++ b/crates/proxy/src/driver/endpoint_watch.rs
@@ -9,13 +9,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The shortest backoff after a watch that ended soon after it started, where the driver starts watches by
-/// itself. A change that drains an upstream may count as delivered (see [`discovery`](crate::discovery))
-/// although the watch broke, and from 250 ms later on, nothing new may be sent to that upstream. So the next
+/// Minimum backoff after a watch that ended soon after it started, where the driver starts watches by itself.
+/// A change that drains an upstream may count as delivered (see [`discovery`](crate::discovery)) although the
+/// watch broke. Nothing new may be sent to that upstream later than 250 ms after the delivery, so the next
 /// watch has to start well before then.
 pub(super) const MIN_WATCH_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest backoff between two watches. The backoff grows up to it so that calls cost little while
-/// discovery is down.
+/// Maximum backoff between two watches. The backoff grows up to it so that calls cost little while discovery
+/// is down.
 pub(super) const MAX_WATCH_BACKOFF: Duration = Duration::from_millis(250);
 /// A watch that has lasted at least this long is followed by the next one without a backoff.
 pub(super) const STABLE_WATCH_DURATION: Duration = Duration::from_millis(250);
--- a/crates/proxy/src/driver/in_flight.rs
+++ b/crates/proxy/src/driver/in_flight.rs
@@ -24,8 +24,8 @@
 /// The sending end of the channel to the client that waits for a final response.
 pub(super) struct ResponseSender {
     response: oneshot::Sender<FinalResponse>,
-    /// Dropping it tells the attempts that nobody waits for the response any more. An attempt that has not
-    /// sent its request completely by then does not send it.
+    /// Dropping it tells the attempts that nobody waits for the response any more. An attempt whose request
+    /// has not been written completely by then ends.
     abandonment_guard: watch::Sender<()>,
 }
 
@@ -70,8 +70,8 @@
         self.attempts.push(attempt);
     }
 
-    /// Returns an attempt whose end the balancer has not been notified of, or `None` if no such attempt has
-    /// this index.
+    /// Returns the attempt with this index. Returns `None` if there is none, or if the balancer has already
+    /// been notified of its end.
     pub(super) fn attempt_in_flight(&mut self, index: AttemptIndex) -> Option<&mut Attempt> {
         self.attempts.get_mut(usize::from(index.0)).filter(|attempt| attempt.is_in_flight)
     }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -57,7 +57,7 @@
     upstreams: Upstreams,
     discovery: DiscoveryClient,
     /// Whether the balancer decides when to start a watch, by [`Action::WatchEndpoints`]. If `false`, the
-    /// driver keeps a watch open by itself. The driver polls nothing at fixed intervals in either case.
+    /// driver keeps a watch open by itself. In both cases, the driver itself never polls discovery.
     balancer_starts_watches: bool,
     /// Set to `true` when all attempts have to end.
     abort_attempts: watch::Sender<bool>,
--- a/crates/proxy/src/driver/request.rs
+++ b/crates/proxy/src/driver/request.rs
@@ -39,7 +39,7 @@
         /// Why the request was rejected.
         reason: RejectionReason,
     },
-    /// No attempt brought a response, and the request may have been executed.
+    /// No attempt succeeded, and the request may have been executed.
     Failed,
 }
 
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -18,7 +18,7 @@
 const LIST_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// A response of an upstream without a body.
 const EMPTY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// The longest time between two calls to discovery. Somewhat less than 6 s, after which a change counts as
+/// Maximum time between two calls to discovery. Somewhat less than 6 s, after which a change counts as
 /// delivered although the watch failed.
 const MAX_CALL_GAP: Duration = Duration::from_millis(5900);
 
@@ -42,12 +42,14 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// Starts a driver that keeps a watch open by itself. Returns it with the socket of its discovery.
+/// Starts a driver that keeps a watch open by itself. Returns it with the listener that stands in for
+/// discovery.
 async fn watching_driver() -> (Rc<Driver>, TcpListener) {
     driver_with_discovery("automatic").await
 }
 
-/// Starts a driver whose `discovery` setting is `mode`. Returns it with the socket of its discovery.
+/// Starts a driver whose `discovery` setting is `mode`. Returns it with the listener that stands in for
+/// discovery.
 async fn driver_with_discovery(mode: &str) -> (Rc<Driver>, TcpListener) {
     let discovery_settings = format!(r#""discovery":"{mode}","guarantees":{{"ask_every_ms":60000}}"#);
     let settings = format!(r#"{{"classes":[{{"name":"look"}}],{discovery_settings}}}"#);
@@ -189,7 +191,7 @@
 async fn an_endless_list_is_given_up_in_time() {
     let (_driver, discovery) = watching_driver().await;
     let mut endless = accept_watch(&discovery).await;
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let writing = spawn_local(async move {
         endless.write_all(LIST_RESPONSE_HEAD).await?;
         endless.write_all(b"23\r\n{\"rev\":1,\n \"all\":true,\n \"targets\":[\r\n").await?;
@@ -202,7 +204,7 @@
         std::io::Result::Ok(())
     });
     accept_watch(&discovery).await;
-    let gap = began_at.elapsed();
+    let gap = started_at.elapsed();
     assert!(gap < Duration::from_secs(4), "{gap:?}");
     writing.abort();
 }
@@ -307,13 +309,13 @@
     let second = Duration::from_secs(1);
     let sending =
         spawn_local(async move { send_list_slowly(&mut stalling, &list, second, 3 * second).await });
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let mut slow = accept_watch(&discovery).await;
-    assert!(began_at.elapsed() < 4 * second, "stalling list: {:?}", began_at.elapsed());
+    assert!(started_at.elapsed() < 4 * second, "stalling list: {:?}", started_at.elapsed());
     sending.abort();
 
     slow.write_all(LIST_RESPONSE_HEAD).await.unwrap();
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let sending = spawn_local(async move {
         for byte in long_list(9) {
             if slow.write_all(format!("1\r\n{}\r\n", byte as char).as_bytes()).await.is_err() {
@@ -323,7 +325,7 @@
         }
     });
     accept_watch(&discovery).await;
-    assert!(began_at.elapsed() < 3 * second, "slow list: {:?}", began_at.elapsed());
+    assert!(started_at.elapsed() < 3 * second, "slow list: {:?}", started_at.elapsed());
     sending.abort();
     assert_eq!(driver.endpoint_list_version(), 0);
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -9,17 +9,17 @@
 #[cfg(test)]
 mod tests;
 
-/// The shortest lame duck phase, unless the deadlines are so short that the process has to end earlier. After
-/// SIGTERM the platform goes on assigning new connections to this balancer for up to 0.4 s, and clients keep
-/// using their open connections. Meanwhile, the balancer that takes over, which may itself have just started,
-/// needs time to become ready.
+/// Minimum duration of the lame duck phase, unless the deadlines are so short that the process has to end
+/// earlier. After SIGTERM, the platform still assigns new connections to this proxy for up to 0.4 s, and
+/// clients keep using their open connections. Meanwhile, the proxy that takes over, which may itself have
+/// just started, needs time to become ready.
 const MIN_LAME_DUCK: Duration = Duration::from_millis(600);
-/// The longest lame duck phase.
+/// Maximum duration of the lame duck phase.
 const MAX_LAME_DUCK: Duration = Duration::from_millis(1200);
 /// The fraction of the longest request deadline that the lame duck phase takes, limited by [`MIN_LAME_DUCK`]
 /// and [`MAX_LAME_DUCK`]. The rest is left for requests that arrive at the end of the phase.
 const LAME_DUCK_DEADLINE_FRACTION: f64 = 0.7;
-/// The longest deadline that the platform takes into account when it decides when to send SIGKILL.
+/// Maximum request deadline that the platform takes into account when it decides when to send SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// After SIGTERM, the process has to end within the longest deadline plus this time. SIGKILL may follow 0.1 s
 /// later.
--- a/crates/proxy/src/lifecycle/tests.rs
+++ b/crates/proxy/src/lifecycle/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// How long after SIGTERM the platform may still assign new connections to this balancer.
+/// How long after SIGTERM the platform may still assign new connections to this proxy.
 const MAX_ASSIGNMENT_DELAY: Duration = Duration::from_millis(400);
 
 /// The platform sends SIGKILL soon after its time limit, however short the deadlines are.
--- a/crates/proxy/src/lifecycle_phase.rs
+++ b/crates/proxy/src/lifecycle_phase.rs
@@ -7,7 +7,7 @@
     /// The process reports that it is ready, accepts connections and serves requests.
     Serving,
     /// The process reports that it is not ready, but still accepts connections and serves requests, because
-    /// the balancer that replaces it may have only just started.
+    /// the proxy that replaces it may have only just started.
     LameDuck,
     /// The process accepts only the connections that already wait in the backlog, and closes open connections
     /// between two requests.
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! `balancer-proxy`: an HTTP load balancer. The proxy does the network I/O; the `balancer_core` library makes
-//! the load-balancing decisions.
+//! `balancer-proxy`: an HTTP load balancer. The proxy does the network I/O. The balancer, which is the
+//! [`Balancer`](balancer_core::Balancer) of the `balancer_core` library, makes the load-balancing decisions.
 
 mod config;
 mod deadline;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -47,19 +47,19 @@
 pub enum AttemptOutcome {
     /// The upstream served the request.
     Ok,
-    /// The upstream responded with an error.
+    /// The upstream responded with an error or with a malformed response.
     Error,
     /// The upstream rejected the request without executing it.
     Rejected,
-    /// No response arrived in time.
+    /// No complete response arrived before the deadline or the shutdown.
     TimedOut,
-    /// No connection to the upstream was established.
+    /// No connection to the upstream was established, or it was lost before the whole request was written.
     ConnectFailed,
-    /// The connection ended without a response.
+    /// The connection was lost after the whole request was written and before the response was complete.
     Reset,
-    /// The balancer cancelled the attempt.
+    /// The balancer cancelled the attempt, or the budget for large response bodies was exhausted.
     Cancelled,
-    /// The request was not sent to the upstream.
+    /// The request was not written completely, for a reason that is not a failure of the upstream.
     NotSent,
 }
 
--- a/crates/proxy/src/rate_limited_log.rs
+++ b/crates/proxy/src/rate_limited_log.rs
@@ -1,10 +1,9 @@
-//! Limits the rate of warnings about peers. Without a limit, a peer that repeats its faults could flood the
-//! log.
+//! Limits the rate of repeated warnings. Without a limit, a peer that repeats a fault could flood the log.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// The shortest time between two warnings in the log.
+/// Minimum time between two warnings in the log.
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Logs at most one warning per [`WARNING_INTERVAL`] and counts the suppressed ones.
