--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -60,7 +60,9 @@
     Delta,
     /// The update is the complete list. Upstreams that it does not contain have been removed.
     Snapshot,
-    /// The update is the complete list as last known to the embedder, possibly out of date.
+    /// The update is a complete list that the embedder has without asking discovery, such as one from its
+    /// configuration. It may be out of date or empty, and does not count as received from discovery.
+    /// Upstreams that it does not contain have been removed.
     Cached,
     /// A call to discovery failed or the watch ended. The known list stays valid.
     Failed,
@@ -69,21 +71,27 @@
 /// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream served the request.
+    /// The upstream executed the request and responded successfully.
     Ok,
-    /// The upstream responded with an error. The request may have been executed.
+    /// The request may have been executed. The upstream responded with an error or with a malformed response.
     Error,
-    /// The upstream rejected the request without executing it, because its queue is full or it is draining.
+    /// The request was not executed. The upstream rejected it and stated so in the response, for example
+    /// because its queue is full or it is draining.
     Rejected,
-    /// No response arrived in time. The request may have been executed or may still be in progress.
+    /// The request may have been executed or may still be in progress. No complete response arrived before
+    /// the deadline, or before the embedder aborted the attempt at shutdown.
     TimedOut,
-    /// No connection was established in time. The request was not executed.
+    /// The request was not executed. No connection to the upstream was established, or the connection was
+    /// lost before the whole request was written.
     ConnectFailed,
-    /// The connection failed during the attempt. The request may have been executed.
+    /// The request may have been executed. The connection was lost after the whole request was written and
+    /// before the response was complete.
     Reset,
-    /// The attempt was cancelled. The request may have been executed.
+    /// The request may have been executed. The balancer cancelled the attempt, or the embedder gave it up
+    /// for lack of memory for the response.
     Cancelled,
-    /// The request was not sent.
+    /// The request was not executed. It was not sent, or only a part of it had been written when the attempt
+    /// ended. The end was not caused by a failed connect or a lost connection.
     NotSent,
 }
 
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -5,8 +5,8 @@
 
 /// Burst that a bucket allows, in seconds of its tenant's demand.
 const DEMAND_BURST_SECONDS: f64 = 0.2;
-/// Tokens that every bucket can hold without overload, whatever its tenant's rate, so that a tenant with
-/// little traffic may send a few requests at once.
+/// Tokens that every bucket can hold without overload, regardless of its tenant's rate, so that a
+/// tenant with little traffic may send a few requests at once.
 const BASE_SIZE_TOKENS: f64 = 3.0;
 /// Share of the guaranteed rate that is withheld per unit of overload from a tenant whose demand exceeds the
 /// guaranteed rate.
@@ -49,8 +49,8 @@
     demand: f64,
     /// This balancer's equal part of the tenant's quota, in requests per second.
     quota: f64,
-    /// Tokens per second that are granted whatever the spare capacity is, less the share that is withheld
-    /// under overload; a multiple of `quota`, at least `quota`.
+    /// Tokens per second that are granted regardless of the spare capacity, less the share that is
+    /// withheld under overload; a multiple of `quota`, at least `quota`.
     guaranteed_rate: f64,
 }
 
--- a/crates/core/src/upstreams/outlier_detection.rs
+++ b/crates/core/src/upstreams/outlier_detection.rs
@@ -225,7 +225,7 @@
         self.is_abandoned() || matches!(self.outcome, Outcome::Rejected | Outcome::Error)
     }
 
-    /// Returns whether the attempt counts as a failure of the upstream whatever its class is.
+    /// Returns whether the attempt counts as a failure of the upstream regardless of its class.
     fn is_upstream_failure(&self) -> bool {
         self.is_abandoned() || self.outcome == Outcome::Rejected
     }
--- a/crates/core/src/upstreams/subset.rs
+++ b/crates/core/src/upstreams/subset.rs
@@ -13,7 +13,7 @@
 
 /// Minimum number of upstreams in a subset for each request per second that the balancer expects.
 const UPSTREAMS_PER_REQUEST_PER_SECOND: f64 = 0.7;
-/// Minimum subset size, whatever the expected rate is.
+/// Minimum subset size, regardless of the expected rate.
 const MIN_SUBSET_SIZE: f64 = 2.0;
 /// Maximum to which the expected rate raises the minimum subset size.
 const MAX_SUBSET_SIZE: f64 = 1e6;
--- a/crates/core/tests/invariants/main.rs
+++ b/crates/core/tests/invariants/main.rs
@@ -1,4 +1,5 @@
-//! A property test of rules that must hold for every request, whatever events the embedder delivers.
+//! A property test of rules that must hold for every request, regardless of the events that the embedder
+//! delivers.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -1,5 +1,5 @@
 //! Updates of the endpoint list. Once a list has arrived completely, an upstream that is draining or removed
-//! in it gets no new requests, whatever the chunks and the formatting of the list.
+//! in it gets no new requests, regardless of how the list is formatted and split into chunks.
 
 mod common;
 
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -120,7 +120,7 @@
     client.response().expect("the proxy sends a response").status()
 }
 
-/// The limit is exact to the byte, whatever the pieces in which a head arrives.
+/// The limit is exact to the byte, regardless of the pieces in which a head arrives.
 #[test]
 fn a_request_head_over_the_limit_is_rejected_and_one_at_the_limit_is_served() {
     let upstream = StubUpstream::start(Behavior::Respond(OK_RESPONSE));
